--- a/internal/front/orders/churn_test.go
+++ b/internal/front/orders/churn_test.go
@@ -18,193 +18,195 @@
 	"foxtailcroft/internal/front/peers"
 )
 
-// way is the time from the planner's word to the arrival of the request at the server.
-const way = 5 * time.Millisecond
+// arrivalDelay is the time from the planner's answer to the arrival of the request at
+// the server.
+const arrivalDelay = 5 * time.Millisecond
 
-// TestAskedAdaptersStayUntilTheirRequestsArrive lets requests for more adapters
-// than there are places wait at the same time, as on a day on which demand has
-// just moved to a model with one copy: none is pushed out again before the
-// request that waited for it has arrived, and orders do not exceed what that takes.
-func TestAskedAdaptersStayUntilTheirRequestsArrive(t *testing.T) {
+// TestRequestedAdaptersStayUntilTheirRequestsArrive runs concurrent requests for more
+// adapters than there are places, as when demand has just moved to a model with one
+// replica. No adapter may be evicted before the request that waited for it arrives,
+// and there must be no more orders than one load and one unload a request.
+func TestRequestedAdaptersStayUntilTheirRequestsArrive(t *testing.T) {
 	const adapters, rounds = 14, 6
-	open(t, 1, 1, 1, func(y *yard) {
-		pool, closePool := conns.New(y.net.Dial, metrics.NewSet())
+	runCluster(t, 1, 1, 1, func(c *cluster) {
+		pool, closePool := conns.New(c.net.Dial, metrics.NewSet())
 		defer closePool()
-		y.group.Go(func() {
-			<-y.ctx.Done()
+		c.group.Go(func() {
+			<-c.ctx.Done()
 			closePool()
 		})
 		time.Sleep(5 * time.Second)
-		before := len(y.book.Orders())
+		before := len(c.orderBook.Orders())
 		var missed atomic.Int64
 		var group conc.WaitGroup
 		for i := range adapters {
 			group.Go(func() {
 				for range rounds {
 					name := fmt.Sprintf("a%d", i+1)
-					found, err := y.want("m0", name, 4*time.Second)
-					y.g.Expect(err).NotTo(HaveOccurred())
-					y.g.Expect(found.Instances).To(HaveLen(1), found.Reason)
-					time.Sleep(way)
-					if y.sendTo(pool, "m0/"+name, "10,5") == http.StatusMisdirectedRequest {
+					found, err := c.want("m0", name, 4*time.Second)
+					c.g.Expect(err).NotTo(HaveOccurred())
+					c.g.Expect(found.Instances).To(HaveLen(1), found.Reason)
+					time.Sleep(arrivalDelay)
+					if c.sendTo(pool, "m0/"+name, "10,5") == http.StatusMisdirectedRequest {
 						missed.Add(1)
 					}
 				}
 			})
 		}
 		group.Wait()
-		orders := len(y.book.Orders()) - before
-		t.Logf("%d orders, %d requests that came too late", orders, missed.Load())
-		y.g.Expect(missed.Load()).To(BeZero())
-		y.g.Expect(orders).To(BeNumerically("<=", 2*adapters*rounds))
-		y.g.Expect(y.book.Broken()).To(BeEmpty())
+		orders := len(c.orderBook.Orders()) - before
+		t.Logf("%d orders, %d requests arrived after their adapter was evicted", orders, missed.Load())
+		c.g.Expect(missed.Load()).To(BeZero())
+		c.g.Expect(orders).To(BeNumerically("<=", 2*adapters*rounds))
+		c.g.Expect(c.orderBook.Broken()).To(BeEmpty())
 	})
 }
 
 // sendTo sends a request for a model or adapter to the first server and returns the answer's status.
-func (y *yard) sendTo(pool *conns.Pool, target, tokens string) int {
+func (c *cluster) sendTo(pool *conns.Pool, target, tokens string) int {
 	header := http.Header{"Request-Id": {"r"}, "Model": {target}, "Token-Counts": {tokens}}
-	res, err := pool.Do(y.ctx, conns.Target{Key: site.Key{ID: "i-0", Born: 1}, Address: "10.0.0.1:80"}, &conns.Request{
+	res, err := pool.Do(c.ctx, conns.Target{Key: site.Key{ID: "i-0", Born: 1}, Address: "10.0.0.1:80"}, &conns.Request{
 		Method: http.MethodPost, URI: "/x", Host: "h", Header: header, Body: []byte("x"),
 	})
-	y.g.Expect(err).NotTo(HaveOccurred())
+	c.g.Expect(err).NotTo(HaveOccurred())
 	_, err = io.Copy(io.Discard, res.Body)
 	res.Done(err == nil)
 	return res.Status
 }
 
-// TestServerReplacedAtItsAddressGetsNoOrders gives an address to another server
-// while the store still lists the one before: the planner notices at the first
-// refusal, or at the report, and does not repeat its orders.
-func TestServerReplacedAtItsAddressGetsNoOrders(t *testing.T) {
-	open(t, 2, 1, 4, func(y *yard) {
+// TestReplacedServerGetsNoFurtherOrders gives a server's address to another server
+// while the store still lists the previous one. The planner must notice at the first
+// rejected order or at the report, and not repeat its orders.
+func TestReplacedServerGetsNoFurtherOrders(t *testing.T) {
+	runCluster(t, 2, 1, 4, func(c *cluster) {
 		time.Sleep(5 * time.Second)
-		p := y.planner().planner
-		y.ends[0]()
-		var asked atomic.Int64
-		end := y.net.Serve("10.0.0.1:80", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		p := c.leader().planner
+		c.stops[0]()
+		var orders atomic.Int64
+		stop := c.net.Serve("10.0.0.1:80", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if strings.HasSuffix(r.URL.Path, "/order") {
-				asked.Add(1)
+				orders.Add(1)
 				w.WriteHeader(http.StatusMisdirectedRequest)
 				return
 			}
 			_, _ = io.WriteString(w, `{"stage":"both","models":[],"busy":false,"sequence":0,"born":2}`)
 		}))
-		defer end()
-		found, err := y.want("m2", "", 6*time.Second)
-		y.g.Expect(err).NotTo(HaveOccurred())
-		y.g.Expect(found.Instances).To(HaveLen(1))
+		defer stop()
+		found, err := c.want("m2", "", 6*time.Second)
+		c.g.Expect(err).NotTo(HaveOccurred())
+		c.g.Expect(found.Instances).To(HaveLen(1))
 		time.Sleep(2 * time.Second)
-		y.g.Expect(asked.Load()).To(BeNumerically("<=", 1))
+		c.g.Expect(orders.Load()).To(BeNumerically("<=", 1))
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		y.g.Expect(p.servers[site.Key{ID: "i-0", Born: 1}].lost).To(BeTrue())
+		c.g.Expect(p.servers[site.Key{ID: "i-0", Born: 1}].lost).To(BeTrue())
 	})
 }
 
-// TestAdapterInUseKeepsItsPlaceUntilItsRequestsEnd fills all places with
-// adapters that requests run on, and wants one more while no front has told of the use.
-func TestAdapterInUseKeepsItsPlaceUntilItsRequestsEnd(t *testing.T) {
-	open(t, 1, 1, 1, func(y *yard) {
-		pool, closePool := conns.New(y.net.Dial, metrics.NewSet())
-		y.group.Go(func() {
-			<-y.ctx.Done()
+// TestAdapterInUseStaysLoadedUntilItsRequestsEnd fills all places with adapters that
+// running requests use, and asks for one more before any front has reported the use.
+func TestAdapterInUseStaysLoadedUntilItsRequestsEnd(t *testing.T) {
+	runCluster(t, 1, 1, 1, func(c *cluster) {
+		pool, closePool := conns.New(c.net.Dial, metrics.NewSet())
+		c.group.Go(func() {
+			<-c.ctx.Done()
 			closePool()
 		})
 		time.Sleep(5 * time.Second)
 		var group conc.WaitGroup
 		for i := range 8 {
 			name := fmt.Sprintf("a%d", i+1)
-			_, err := y.want("m0", name, 4*time.Second)
-			y.g.Expect(err).NotTo(HaveOccurred())
-			group.Go(func() { y.g.Expect(y.sendTo(pool, "m0/"+name, "10,500")).To(Equal(http.StatusOK)) })
+			_, err := c.want("m0", name, 4*time.Second)
+			c.g.Expect(err).NotTo(HaveOccurred())
+			group.Go(func() { c.g.Expect(c.sendTo(pool, "m0/"+name, "10,500")).To(Equal(http.StatusOK)) })
 		}
-		found, err := y.want("m0", "a9", 6*time.Second)
-		y.g.Expect(err).NotTo(HaveOccurred())
-		y.g.Expect(found.Instances).To(HaveLen(1), found.Reason)
+		found, err := c.want("m0", "a9", 6*time.Second)
+		c.g.Expect(err).NotTo(HaveOccurred())
+		c.g.Expect(found.Instances).To(HaveLen(1), found.Reason)
 		group.Wait()
-		y.g.Expect(y.book.Broken()).To(BeEmpty())
+		c.g.Expect(c.orderBook.Broken()).To(BeEmpty())
 	})
 }
 
-// TestSuccessorTakesOverLoadsUnderWay ends the planner while a model is being
-// loaded: the next one waits for that load instead of ordering another.
-func TestSuccessorTakesOverLoadsUnderWay(t *testing.T) {
-	open(t, 2, 2, 8, func(y *yard) {
+// TestSuccessorInheritsLoadsInProgress stops the planner while a model is being loaded.
+// The next planner must wait for that load instead of ordering another.
+func TestSuccessorInheritsLoadsInProgress(t *testing.T) {
+	runCluster(t, 2, 2, 8, func(c *cluster) {
 		time.Sleep(5 * time.Second)
-		first := y.planner()
-		for _, s := range y.servers {
+		first := c.leader()
+		for _, s := range c.servers {
 			s.SetLoadTime(12 * time.Second)
 		}
 		var group conc.WaitGroup
 		group.Go(func() {
-			_, err := first.planner.Want(y.ctx, peers.Want{Service: "llm", Target: site.Adapter{Model: "m7"}, Wait: time.Second, Answer: time.Second})
-			y.g.Expect(err).NotTo(HaveOccurred())
+			_, err := first.planner.Want(c.ctx, peers.Want{Service: "llm", Target: site.Adapter{Model: "m7"}, Wait: time.Second, Answer: time.Second})
+			c.g.Expect(err).NotTo(HaveOccurred())
 		})
 		group.Wait()
-		var next *planning
-		for _, p := range y.fronts {
+		var successor *testFront
+		for _, p := range c.fronts {
 			if p != first {
-				next = p
+				successor = p
 			}
 		}
-		board := first.planner.Use(peers.Uses{Front: "front-next"})
-		y.g.Expect(board.Pending).To(HaveLen(1))
-		next.planner.Learn(board)
+		board := first.planner.ApplyUsage(peers.Uses{Front: "front-next"})
+		c.g.Expect(board.Pending).To(HaveLen(1))
+		successor.planner.Learn(board)
 		first.cancel()
-		before := len(y.book.Orders())
+		before := len(c.orderBook.Orders())
 		time.Sleep(4 * time.Second)
-		y.g.Expect(next.planner.leads()).To(BeTrue())
-		found, err := next.planner.Want(y.ctx, peers.Want{Service: "llm", Target: site.Adapter{Model: "m7"}, Wait: 12 * time.Second, Answer: 12 * time.Second})
-		y.g.Expect(err).NotTo(HaveOccurred())
-		y.g.Expect(found.Instances).To(HaveLen(1), found.Reason)
-		y.g.Expect(y.book.Orders()[before:]).To(BeEmpty())
+		c.g.Expect(successor.planner.checkLeadership()).To(BeTrue())
+		found, err := successor.planner.Want(c.ctx, peers.Want{Service: "llm", Target: site.Adapter{Model: "m7"}, Wait: 12 * time.Second, Answer: 12 * time.Second})
+		c.g.Expect(err).NotTo(HaveOccurred())
+		c.g.Expect(found.Instances).To(HaveLen(1), found.Reason)
+		c.g.Expect(c.orderBook.Orders()[before:]).To(BeEmpty())
 	})
 }
 
-func TestDeference(t *testing.T) {
+func TestClaimDelayByCPUShare(t *testing.T) {
 	cases := []struct {
 		name      string
 		processor float64
 		want      time.Duration
 	}{
-		{"not known", 0, 0},
-		{"strong", 0.8, 0},
-		{"as strong as it takes", 0.3, 0},
-		{"half of that", 0.15, 400 * time.Millisecond},
+		{"unknown share: no delay", 0, 0},
+		{"more than sufficient: no delay", 0.8, 0},
+		{"just sufficient: no delay", 0.3, 0},
+		{"half of the sufficient share: half the maximum", 0.15, 400 * time.Millisecond},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			NewWithT(t).Expect(deference(c.processor)).To(BeNumerically("~", c.want, time.Millisecond))
+			NewWithT(t).Expect(claimDelayFor(c.processor)).To(BeNumerically("~", c.want, time.Millisecond))
 		})
 	}
 }
 
-// TestChangesDoNotWakeEveryWaiter lets many requests wait while beliefs change
-// every millisecond: waiters are looked at once a look of the planner, not once a change.
-func TestChangesDoNotWakeEveryWaiter(t *testing.T) {
+// TestStateChangesDoNotCheckEveryWaiter lets many requests wait while the planner is
+// woken every millisecond. Waiters must be checked once a planning step, not once a
+// change: otherwise a planner with little CPU time falls behind for seconds.
+func TestStateChangesDoNotCheckEveryWaiter(t *testing.T) {
 	const waiters, changes = 100, 1000
-	open(t, 1, 1, 5, func(y *yard) {
-		p := y.planner().planner
+	runCluster(t, 1, 1, 5, func(c *cluster) {
+		p := c.leader().planner
 		time.Sleep(5 * time.Second)
-		for _, s := range y.servers {
+		for _, s := range c.servers {
 			s.SetLoadTime(time.Minute)
 		}
 		var group conc.WaitGroup
 		for range waiters {
 			group.Go(func() {
-				_, err := p.Want(y.ctx, peers.Want{Service: "llm", Target: site.Adapter{Model: "m4"}, Wait: 4 * time.Second, Answer: 4 * time.Second})
-				y.g.Expect(err).NotTo(HaveOccurred())
+				_, err := p.Want(c.ctx, peers.Want{Service: "llm", Target: site.Adapter{Model: "m4"}, Wait: 4 * time.Second, Answer: 4 * time.Second})
+				c.g.Expect(err).NotTo(HaveOccurred())
 			})
 		}
 		time.Sleep(time.Second)
-		before := y.looks.Load()
+		before := c.stateReads.Load()
 		for range changes {
 			p.wake()
 			time.Sleep(time.Millisecond)
 		}
-		const perLook = waiters + 20
-		y.g.Expect(y.looks.Load() - before).To(BeNumerically("<=", (changes/5+20)*perLook))
+		const readsPerStep = waiters + 20
+		c.g.Expect(c.stateReads.Load() - before).To(BeNumerically("<=", (changes/5+20)*readsPerStep))
 		group.Wait()
 	})
 }
--- a/internal/front/orders/wire.go
+++ b/internal/front/orders/client.go
@@ -12,15 +12,16 @@
 )
 
 const (
-	// reportTimeout bounds the reading of a report.
+	// reportTimeout bounds a report request.
 	reportTimeout = 800 * time.Millisecond
-	// orderTimeout is when an order without answer counts as possibly accepted.
+	// orderTimeout bounds an order request; an order that timed out may have been accepted.
 	orderTimeout = time.Second
-	// maxReport bounds the bytes read of a report.
-	maxReport = 1 << 20
+	// maxReplyBytes bounds the bytes that are read of a response body.
+	maxReplyBytes = 1 << 20
 )
 
-// Dialect words reports and orders for the model servers.
+// Dialect encodes report and order requests for the model servers and decodes their
+// responses.
 type Dialect interface {
 	ReportRequest(address string) (*http.Request, error)
 	Report(data []byte) (site.Report, error)
@@ -28,14 +29,14 @@
 	Outcome(status int) site.Outcome
 }
 
-// wire speaks to model servers.
-type wire struct {
+// serverClient sends report and order requests to model servers.
+type serverClient struct {
 	pool    *conns.Pool
 	dialect Dialect
 }
 
-// report reads a server's report.
-func (w *wire) report(ctx context.Context, in site.Instance) (site.Report, error) {
+// report requests a server's report.
+func (w *serverClient) report(ctx context.Context, in site.Instance) (site.Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	req, err := w.dialect.ReportRequest(in.Address)
@@ -52,8 +53,8 @@
 	return w.dialect.Report(data)
 }
 
-// order gives an order; an answer that does not come leaves the outcome unknown.
-func (w *wire) order(ctx context.Context, in site.Instance, o site.Order) (site.Outcome, error) {
+// order sends an order. Without a response the outcome is Unknown.
+func (w *serverClient) order(ctx context.Context, in site.Instance, o site.Order) (site.Outcome, error) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	req, err := w.dialect.OrderRequest(in.Address, in.ID, o)
@@ -67,7 +68,7 @@
 	return w.dialect.Outcome(status), nil
 }
 
-func (w *wire) send(ctx context.Context, in site.Instance, req *http.Request) (int, []byte, error) {
+func (w *serverClient) send(ctx context.Context, in site.Instance, req *http.Request) (int, []byte, error) {
 	var body []byte
 	if req.Body != nil {
 		var err error
@@ -81,7 +82,7 @@
 	if err != nil {
 		return 0, nil, err
 	}
-	data, err := io.ReadAll(io.LimitReader(res.Body, maxReport))
+	data, err := io.ReadAll(io.LimitReader(res.Body, maxReplyBytes))
 	res.Done(err == nil)
 	return res.Status, data, err
 }
--- a/internal/front/orders/demand.go
+++ b/internal/front/orders/demand.go
@@ -9,61 +9,66 @@
 )
 
 const (
-	// adapterActive is how long after a request an adapter counts as in use.
-	adapterActive = 8 * time.Second
+	// adapterActiveWindow is how long after its last request an adapter counts as in use.
+	adapterActiveWindow = 8 * time.Second
 )
 
-// demand keeps fading rates of requests and of servers' work by model, and when each adapter was last asked for.
+// demand keeps exponentially decaying counts of requests and prompt processing time
+// by model, and the time of the last request for each adapter.
 type demand struct {
-	rates map[string]fade.Count
-	// sent and work are the requests that reached a server, and the seconds that reading their prompts takes.
-	sent     map[string]fade.Count
-	work     map[string]fade.Count
-	adapters map[site.Adapter]time.Time
+	requests map[string]fade.Count
+	// sent counts the requests that reached a server, and promptSeconds the
+	// seconds that servers spend on their prompts (prefill).
+	sent               map[string]fade.Count
+	promptSeconds      map[string]fade.Count
+	adapterLastRequest map[site.Adapter]time.Time
 }
 
 func newDemand() demand {
-	return demand{rates: map[string]fade.Count{}, sent: map[string]fade.Count{}, work: map[string]fade.Count{}, adapters: map[site.Adapter]time.Time{}}
+	return demand{requests: map[string]fade.Count{}, sent: map[string]fade.Count{}, promptSeconds: map[string]fade.Count{}, adapterLastRequest: map[site.Adapter]time.Time{}}
 }
 
-// add counts requests of a model or adapter.
+// add counts n requests for a model or adapter, served or not.
 func (d demand) add(t site.Adapter, n float64, now time.Time) {
-	d.rates[t.Model] = d.rates[t.Model].Add(n, now)
+	d.requests[t.Model] = d.requests[t.Model].Add(n, now)
 	if t.Name != "" {
-		d.adapters[t] = now
+		d.adapterLastRequest[t] = now
 	}
 }
 
-// worked counts requests that were sent to a server, and its work for them.
-func (d demand) worked(t site.Adapter, requests int, work time.Duration, now time.Time) {
+// addSent counts requests that were sent to a server, and the time that the server
+// spends on their prompts.
+func (d demand) addSent(t site.Adapter, requests int, promptTime time.Duration, now time.Time) {
 	if requests == 0 || t.Model == "" {
 		return
 	}
 	d.sent[t.Model] = d.sent[t.Model].Add(float64(requests), now)
-	d.work[t.Model] = d.work[t.Model].Add(work.Seconds(), now)
+	d.promptSeconds[t.Model] = d.promptSeconds[t.Model].Add(promptTime.Seconds(), now)
 }
 
-// each returns the work for one request of a model, 0 if not known.
-func (d demand) each(model string, now time.Time) time.Duration {
+// promptTimePerRequest returns the mean prompt processing time of a model's requests,
+// 0 if too few were seen.
+func (d demand) promptTimePerRequest(model string, now time.Time) time.Duration {
 	sent := d.sent[model].Weight(now)
-	if sent < leastSent {
+	if sent < minSentWeight {
 		return 0
 	}
-	return time.Duration(d.work[model].Weight(now) / sent * float64(time.Second))
+	return time.Duration(d.promptSeconds[model].Weight(now) / sent * float64(time.Second))
 }
 
-// leastSent is the weight of requests from which the work for each is known.
-const leastSent = 1.0
+// minSentWeight is the decayed number of requests below which the prompt time per
+// request is unknown.
+const minSentWeight = 1.0
 
-// all returns the demand for every model.
-func (d demand) all(now time.Time) map[string]swap.Demand {
-	out := make(map[string]swap.Demand, len(d.rates))
-	for m, f := range d.rates {
-		out[m] = swap.Demand{Rate: f.Rate(now), Each: d.each(m, now)}
+// byModel returns the demand for every model, and drops adapters that are no longer in use.
+func (d demand) byModel(now time.Time) map[string]swap.Demand {
+	out := make(map[string]swap.Demand, len(d.requests))
+	for m, f := range d.requests {
+		out[m] = swap.Demand{Rate: f.Rate(now), Each: d.promptTimePerRequest(m, now)}
 	}
-	for a, at := range d.adapters {
-		if now.Sub(at) > adapterActive {
-			delete(d.adapters, a)
+	for a, lastRequest := range d.adapterLastRequest {
+		if now.Sub(lastRequest) > adapterActiveWindow {
+			delete(d.adapterLastRequest, a)
 			continue
 		}
 		x := out[a.Model]
--- a/internal/front/orders/doc.go
+++ b/internal/front/orders/doc.go
@@ -1,5 +1,6 @@
-// Package orders is the planner: the one front that holds the lease in the
-// store gives orders to model servers, under the fencing number of the lease
-// and the number of orders that each server has accepted, so that a late or
-// foreign order is refused by the server.
+// Package orders contains the planner and its leader election. The front that
+// holds the planner's key in the store sends load and unload orders to model
+// servers. Each order carries the fencing token and the server's sequence number
+// (the count of orders it has accepted), so that a server can reject delayed
+// orders and orders of a deposed planner.
 package orders
--- /dev/null
+++ b/internal/front/orders/execute.go
@@ -0,0 +1,251 @@
+package orders
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"foxtailcroft/internal/back/conns"
+	"foxtailcroft/internal/base/pause"
+	"foxtailcroft/internal/core/site"
+	"foxtailcroft/internal/policy/swap"
+)
+
+const (
+	// initialPollInterval is the first interval between report reads that wait for
+	// a load or unload to end; it doubles up to reportInterval.
+	initialPollInterval = 60 * time.Millisecond
+	// maxReportLag bounds how far a server's report lags behind its state.
+	maxReportLag = 150 * time.Millisecond
+	// maxOverrun is how long the planner polls for the end of an unload, or of a load
+	// past its forecast, before it gives up.
+	maxOverrun = 60 * time.Second
+)
+
+// executeSwap unloads the models to evict, one after the other, then loads the
+// requested one.
+func (p *Planner) executeSwap(ctx context.Context, s *server, a swap.Action) {
+	defer p.releaseServer(s)
+	for _, model := range a.Evict {
+		target := site.Adapter{Model: model}
+		if !p.sendOrder(ctx, s, site.Order{Unload: true, Target: target}) {
+			return
+		}
+		if !p.pollUntil(ctx, s, maxOverrun, func() bool { return !s.busy && s.models[model] == nil }) {
+			return
+		}
+	}
+	if !p.sendOrder(ctx, s, site.Order{Target: site.Adapter{Model: a.Load}}) {
+		return
+	}
+	began := time.Now()
+	p.mu.Lock()
+	s.readyAt = began.Add(a.Takes)
+	concurrent := p.activeStoreLoads()
+	p.mu.Unlock()
+	if p.awaitAnnouncement(ctx, s, a.Load, a.Takes) || p.pollUntil(ctx, s, maxOverrun, func() bool { return s.models[a.Load] != nil }) {
+		p.recordStoreLoad(s, a, concurrent, time.Since(began))
+	}
+}
+
+// recordStoreLoad updates the estimate of how many weight store loads run at full
+// speed concurrently, from the duration of one that ran next to others.
+func (p *Planner) recordStoreLoad(s *server, a swap.Action, concurrent int, took time.Duration) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	engine := engineOf(p.state(), s.inst.Service)
+	if a.Source != swap.FromStore || engine == nil || engine.Model(a.Load) == nil || s.models[a.Load] == nil {
+		return
+	}
+	concurrencyBefore := p.storeConcurrency.AtOnce()
+	p.storeConcurrency = p.storeConcurrency.Ended(max(concurrent, p.activeStoreLoads()), took, engine.Model(a.Load).FromStore)
+	p.log.Infow("load from the store ended", "Instance", s.inst.ID, "Model", a.Load, "Took", took.String(), "Beside", concurrent, "AtOnceBefore", concurrencyBefore, "AtOnce", p.storeConcurrency.AtOnce())
+}
+
+// awaitAnnouncement waits until the server announces the model, which it does as
+// soon as the model is loaded. It returns false if that takes longer than expected
+// or the context ends, and true if the server is gone.
+func (p *Planner) awaitAnnouncement(ctx context.Context, s *server, model string, expected time.Duration) bool {
+	ctx, cancel := context.WithTimeout(ctx, expected+maxReportLag)
+	defer cancel()
+	for {
+		p.mu.Lock()
+		next := s.changed
+		ok, gone := s.models[model] != nil, p.servers[s.inst.Key] != s
+		p.mu.Unlock()
+		if ok || gone {
+			return true
+		}
+		select {
+		case <-next:
+		case <-ctx.Done():
+			return false
+		}
+	}
+}
+
+// releaseServer ends the reservation of a server, so that new orders may go to it.
+func (p *Planner) releaseServer(s *server) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	s.reserved, s.loadingModel, s.evicting = false, "", nil
+	p.wake()
+}
+
+// pollUntil reads the server's reports with backoff until done returns true. It
+// returns false on timeout, when the context ends or when the server is gone.
+// done is called with p.mu held.
+func (p *Planner) pollUntil(ctx context.Context, s *server, timeout time.Duration, done func() bool) bool {
+	deadline := time.Now().Add(timeout)
+	wait := initialPollInterval
+	for time.Now().Before(deadline) {
+		p.readReport(ctx, s)
+		p.mu.Lock()
+		ok, gone := done(), p.servers[s.inst.Key] != s
+		p.mu.Unlock()
+		if ok || gone {
+			return ok && !gone
+		}
+		if !pause.For(ctx, wait) {
+			return false
+		}
+		wait = min(2*wait, reportInterval)
+	}
+	return false
+}
+
+// sendOrder sends one order, if it is still allowed, and applies its outcome. It
+// reports whether the server accepted the order or was already in the desired state.
+func (p *Planner) sendOrder(ctx context.Context, s *server, o site.Order) bool {
+	select {
+	case s.orderSlot <- struct{}{}:
+		defer func() { <-s.orderSlot }()
+	case <-ctx.Done():
+		return false
+	}
+	fence, ok := p.lead.Fence(p.settings.ChecksFence)
+	p.mu.Lock()
+	if !ok || fence != p.fence || fence == p.deposedFence || p.servers[s.inst.Key] != s || !s.allowsOrder(o, engineOf(p.state(), s.inst.Service)) {
+		p.mu.Unlock()
+		return false
+	}
+	o.Holder, o.Fence, o.Sequence = p.settings.Node, fence, s.sequence
+	in := s.inst
+	p.mu.Unlock()
+	p.ordersTotal.Inc()
+	began := time.Now()
+	outcome, err := p.client.order(ctx, in, o)
+	p.mu.Lock()
+	var unsent *conns.Failure
+	if errors.As(err, &unsent) && !unsent.Sent {
+		p.markLost(s, err)
+	} else {
+		p.applyOutcome(s, o, outcome)
+	}
+	p.mu.Unlock()
+	p.log.Infow("order", "Instance", in.ID, "Unload", o.Unload, "Model", o.Target.Model, "Adapter", o.Target.Name, "Sequence", o.Sequence,
+		"Fence", fence, "Outcome", string(outcome), "Took", time.Since(began).String(), "Error", errorText(err))
+	if outcome == site.Conflict {
+		pause.For(ctx, maxReportLag)
+		p.readReport(ctx, s)
+	}
+	return outcome == site.Accepted || outcome == site.Holds
+}
+
+func errorText(err error) string {
+	if err == nil {
+		return ""
+	}
+	return err.Error()
+}
+
+// applyOutcome updates the planner's view of the server after an order. The caller
+// must hold p.mu.
+func (p *Planner) applyOutcome(s *server, o site.Order, outcome site.Outcome) {
+	now := time.Now()
+	switch outcome {
+	case site.Accepted, site.Holds:
+		if outcome == site.Accepted || o.Unload {
+			s.sequence = o.Sequence + 1
+		}
+		s.applyOrder(o, outcome == site.Holds, now)
+	case site.Conflict:
+		s.resync = true
+	case site.Fenced:
+		p.deposedFence = o.Fence
+		p.log.Warnw("deposed: a server has seen a higher fencing token; sending no more orders under this one", "Fence", o.Fence, "Instance", s.inst.ID)
+	case site.Moved:
+		p.markLost(s, errReplaced)
+	case site.Invalid:
+		s.pausedUntil = now.Add(invalidOrderPause)
+	case site.Unknown:
+		// The server may have accepted the order or may still do so. The next report
+		// shows which; the sequence number makes the server reject a delayed order.
+		s.outcomeUnknown = true
+	}
+	p.wake()
+}
+
+// errReplaced marks a server as lost because another instance answers at its address.
+var errReplaced = errors.New("another instance answers at its address")
+
+// invalidOrderPause is how long no order is sent to a server that rejected one as invalid.
+const invalidOrderPause = time.Second
+
+// applyOrder applies the immediate effects of an accepted order. complete is true
+// if the server was already in the desired state.
+func (s *server) applyOrder(o site.Order, complete bool, now time.Time) {
+	switch {
+	case o.Unload && o.Target.Name != "" && complete:
+		delete(s.adapters, o.Target)
+	case o.Unload && o.Target.Name != "":
+		// Requests may still use the adapter; it occupies its place until they end.
+		if h := s.adapters[o.Target]; h != nil {
+			h.unloading = true
+		}
+	case o.Unload:
+		if h := s.models[o.Target.Model]; h != nil {
+			h.unloading = true
+		}
+		for a := range s.adapters {
+			if a.Model == o.Target.Model {
+				delete(s.adapters, a)
+			}
+		}
+		s.busy = true
+	case o.Target.Name != "":
+		s.adapters[o.Target] = existingOrNew(s.adapters[o.Target], now)
+	default:
+		s.busy = true
+	}
+}
+
+// loadAdapter evicts the victim, if there is one, and loads an adapter.
+func (p *Planner) loadAdapter(ctx context.Context, s *server, t, victim site.Adapter) {
+	if p.evictAdapter(ctx, s, victim) && p.sendOrder(ctx, s, site.Order{Target: t}) {
+		pause.For(ctx, adapterLoadTime)
+	}
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	delete(p.adaptersLoading, t)
+	p.wake()
+}
+
+// evictAdapter unloads a victim, if there is one, and waits until its place is
+// free. It reports whether the place is free.
+func (p *Planner) evictAdapter(ctx context.Context, s *server, victim site.Adapter) bool {
+	if victim.Name == "" {
+		return true
+	}
+	ordered := p.sendOrder(ctx, s, site.Order{Unload: true, Target: victim})
+	p.mu.Lock()
+	h := s.adapters[victim]
+	if h != nil && !ordered {
+		h.unloading = false
+	}
+	p.mu.Unlock()
+	return ordered && (h == nil || p.pollUntil(ctx, s, adapterDrainTimeout, func() bool { return s.adapters[victim] == nil }))
+}
+
+// adapterDrainTimeout bounds the wait for the unload of an adapter that requests still use.
+const adapterDrainTimeout = 5 * time.Second
--- a/internal/front/orders/lead.go
+++ b/internal/front/orders/lead.go
@@ -17,17 +17,20 @@
 )
 
 const (
-	// leaseTime is how long a silent front stays registered and the planner, if the store grants it so short.
-	leaseTime = 2 * time.Second
-	// renewals is how often a lease is renewed within its time.
-	renewals = 4
-	// maxSuspension is how long the machine may have been suspended since a renewal.
+	// leaseTTL is how long a front that stops renewing stays registered and keeps
+	// the planner's key, unless the store's shortest lease is longer.
+	leaseTTL = 2 * time.Second
+	// renewalsPerTTL is the number of renewals in one lease TTL.
+	renewalsPerTTL = 4
+	// maxSuspension is how long the machine may have been suspended since the last
+	// renewal before the front stops giving orders until the next one.
 	maxSuspension = 300 * time.Millisecond
-	// claimSpread spreads the claims of fronts that see the planner's key vanish together.
-	claimSpread = 150 * time.Millisecond
+	// maxClaimJitter bounds the random delay of a claim, as all fronts see the
+	// planner's key vanish at the same time.
+	maxClaimJitter = 150 * time.Millisecond
 )
 
-// Leases is the store as the lead uses it.
+// Leases is the part of the store that a Lead uses.
 type Leases interface {
 	Grant(ctx context.Context, ttl time.Duration) (int64, error)
 	KeepAlive(ctx context.Context, lease int64) (bool, error)
@@ -35,81 +38,87 @@
 	Commit(ctx context.Context, t store.Txn) (store.Result, error)
 }
 
-// Lead registers a front in the store and claims the planner's key when nobody holds it.
+// Lead registers a front in the store under a lease and claims the planner's key
+// when no front holds it (leader election).
 type Lead struct {
-	Self  follow.Front
-	store Leases
-	state func() *follow.State
-	ttl   time.Duration
-	boot  func() time.Duration
-	// defers is how long this front leaves the planner's key to stronger machines.
-	defers  time.Duration
-	log     *zap.SugaredLogger
-	mu      sync.Mutex
-	lease   int64
-	renewed time.Time
-	// renewedBoot is renewed by the clock that counts suspensions.
-	renewedBoot time.Duration
-	leaving     bool
-	// failing is true while renewals fail; it belongs to Run.
-	failing bool
+	Self      follow.Front
+	store     Leases
+	state     func() *follow.State
+	ttl       time.Duration
+	bootClock func() time.Duration
+	// claimDelay is how long this front waits before it claims the planner's key, so
+	// that fronts with more CPU claim it first.
+	claimDelay time.Duration
+	log        *zap.SugaredLogger
+	mu         sync.Mutex
+	lease      int64
+	renewedAt  time.Time
+	// renewedAtBoot is the time of the last renewal on bootClock, which also counts
+	// the time in which the machine is suspended.
+	renewedAtBoot time.Duration
+	leaving       bool
+	// renewalFailing is true while renewals fail. Only Run uses it, without the lock.
+	renewalFailing bool
 }
 
-// LeadOptions is what a lead needs to know of its front's machine and store.
+// LeadOptions describe the front, its machine and the store to a Lead.
 type LeadOptions struct {
 	Name    string
 	Address string
-	// MinLease is the shortest lease that the store grants.
+	// MinLease is the shortest lease TTL that the store grants.
 	MinLease time.Duration
-	// Processor is the part of a core that the machine has, 0 if not known.
+	// Processor is the share of a CPU core available to the front, 0 if unknown.
 	Processor float64
-	// Boot is a clock that counts the time in which the machine was suspended.
+	// Boot returns the time since boot, including the time in which the machine was suspended.
 	Boot func() time.Duration
 }
 
-// NewLead returns the lead of a front.
+// NewLead returns a Lead that registers the front once Run is called.
 func NewLead(o LeadOptions, s Leases, state func() *follow.State, log *zap.SugaredLogger) *Lead {
 	return &Lead{
 		Self: follow.Front{Name: o.Name, Address: o.Address, Run: uuid.NewString()}, store: s, state: state,
-		ttl: max(leaseTime, o.MinLease), boot: o.Boot, defers: deference(o.Processor), log: log,
+		ttl: max(leaseTTL, o.MinLease), bootClock: o.Boot, claimDelay: claimDelayFor(o.Processor), log: log,
 	}
 }
 
 const (
-	// strong is the part of a core on which a planner of some dozen fronts and
-	// servers is not short of time (docs/CAPACITY.md).
-	strong = 0.3
-	// mostDeference is what a machine without any processor time would wait before it claims.
-	mostDeference = 800 * time.Millisecond
+	// sufficientCPUShare is the share of a core from which a planner for a few dozen
+	// fronts and servers has enough CPU time (docs/CAPACITY.md).
+	sufficientCPUShare = 0.3
+	// maxClaimDelay is the limit of the claim delay as the CPU share goes to 0.
+	maxClaimDelay = 800 * time.Millisecond
 )
 
-// deference returns how long a front with a part of a core leaves the planner's key to stronger ones.
-func deference(processor float64) time.Duration {
-	if processor <= 0 || processor >= strong {
+// claimDelayFor returns how long a front with the given share of a CPU core waits
+// before it claims the planner's key; 0 if the share is sufficient or unknown.
+func claimDelayFor(cpuShare float64) time.Duration {
+	if cpuShare <= 0 || cpuShare >= sufficientCPUShare {
 		return 0
 	}
-	return time.Duration((1 - processor/strong) * float64(mostDeference))
+	return time.Duration((1 - cpuShare/sufficientCPUShare) * float64(maxClaimDelay))
 }
 
-// Run keeps the registration and the claim until the context ends.
+// Run renews the registration and claims the planner's key whenever it is free,
+// until the context ends.
 func (l *Lead) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		err := l.keep(ctx)
-		if err != nil && !l.failing {
-			l.log.Warnw("lease not renewed", "Error", err.Error())
+		err := l.renewOrRegister(ctx)
+		if err != nil && !l.renewalFailing {
+			l.log.Warnw("lease renewal or registration failed; retrying at the next renewal", "Error", err.Error())
 		}
-		l.failing = err != nil
-		l.untilDue(ctx)
+		l.renewalFailing = err != nil
+		l.claimUntilRenewal(ctx)
 	}
 }
 
-// untilDue waits for the next renewal, claiming the planner's key whenever it is free.
-func (l *Lead) untilDue(ctx context.Context) {
-	due := time.Now().Add(l.ttl / renewals)
+// claimUntilRenewal waits until the next renewal is due and claims the planner's
+// key whenever it is free.
+func (l *Lead) claimUntilRenewal(ctx context.Context) {
+	due := time.Now().Add(l.ttl / renewalsPerTTL)
 	for ctx.Err() == nil && time.Now().Before(due) {
 		s := l.state()
-		if s.Planner == nil && l.registered() && pause.For(ctx, l.defers+rand.N(claimSpread)) {
-			l.claim(ctx)
+		if s.Planner == nil && l.registered() && pause.For(ctx, l.claimDelay+rand.N(maxClaimJitter)) {
+			l.claimPlannerKey(ctx)
 		}
 		timer := time.NewTimer(time.Until(due))
 		select {
@@ -127,25 +136,26 @@
 	return l.lease != 0 && !l.leaving
 }
 
-// keep renews the lease, or takes a new one and registers under it.
-func (l *Lead) keep(ctx context.Context) error {
+// renewOrRegister renews the lease. If there is none, or it or the registration was
+// lost, it gets a new lease and registers under it.
+func (l *Lead) renewOrRegister(ctx context.Context) error {
 	l.mu.Lock()
 	lease, leaving := l.lease, l.leaving
 	l.mu.Unlock()
 	if leaving {
 		return nil
 	}
-	began, boot := time.Now(), l.boot()
+	began, beganBoot := time.Now(), l.bootClock()
 	if lease != 0 {
 		ok, err := l.store.KeepAlive(ctx, lease)
 		if err != nil {
 			return err
 		}
-		if ok && l.listed() {
-			l.set(lease, began, boot)
+		if ok && l.registrationVisible() {
+			l.setLease(lease, began, beganBoot)
 			return nil
 		}
-		l.log.Warnw("lease lost", "Lease", lease, "Renewable", ok)
+		l.log.Warnw("lease or registration lost; registering under a new lease", "Lease", lease, "Renewable", ok)
 	}
 	lease, err := l.store.Grant(ctx, l.ttl)
 	if err != nil {
@@ -160,35 +170,37 @@
 		return err
 	}
 	l.log.Infow("registered", "Lease", lease, "Revision", res.Revision)
-	l.set(lease, began, boot)
+	l.setLease(lease, began, beganBoot)
 	return nil
 }
 
-// listed reports whether the store still shows the registration; it may be taken away while the lease seems to stand.
-func (l *Lead) listed() bool {
+// registrationVisible reports whether the store still lists this front. The
+// registration may be removed while renewals of the lease still succeed.
+func (l *Lead) registrationVisible() bool {
 	front, ok := l.state().Fronts[l.Self.Name]
 	return ok && front.Run == l.Self.Run
 }
 
-func (l *Lead) set(lease int64, began time.Time, boot time.Duration) {
+func (l *Lead) setLease(lease int64, began time.Time, beganBoot time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.lease, l.renewed, l.renewedBoot = lease, began, boot
+	l.lease, l.renewedAt, l.renewedAtBoot = lease, began, beganBoot
 }
 
-// suspended reports whether the machine was suspended since the lease was renewed; the caller holds the lock.
+// suspended reports whether the machine was suspended for longer than maxSuspension
+// since the last renewal. The caller must hold l.mu.
 func (l *Lead) suspended() bool {
-	return l.boot()-l.renewedBoot-time.Since(l.renewed) > maxSuspension
+	return l.bootClock()-l.renewedAtBoot-time.Since(l.renewedAt) > maxSuspension
 }
 
-// claim takes the planner's key if nobody holds it.
-func (l *Lead) claim(ctx context.Context) {
+// claimPlannerKey writes the planner's key if no front holds it.
+func (l *Lead) claimPlannerKey(ctx context.Context) {
 	if l.state().Planner != nil {
 		return
 	}
 	value, err := json.Marshal(l.Self)
 	if err != nil {
-		l.log.Errorw("registration cannot be encoded", "Error", err.Error())
+		l.log.Errorw("encoding the planner claim failed; not claiming the planner's key", "Error", err.Error())
 		return
 	}
 	l.mu.Lock()
@@ -201,17 +213,18 @@
 	var gone *fault.Missing
 	switch {
 	case fault.As(err, &gone):
-		l.set(0, time.Time{}, 0)
+		l.setLease(0, time.Time{}, 0)
 	case err != nil:
-		l.log.Warnw("planner's key not claimed", "Error", err.Error())
+		l.log.Warnw("claiming the planner's key failed; retrying while no front holds it", "Error", err.Error())
 	default:
-		l.log.Infow("planner's key claimed", "Won", res.Succeeded, "Revision", res.Revision)
+		l.log.Infow("tried to claim the planner's key", "Won", res.Succeeded, "Revision", res.Revision)
 	}
 }
 
-// Fence returns the fencing number if this front may give orders now. After a
-// suspension of the machine the lease must be renewed first; where servers do
-// not check fences, a lease that was not renewed in time ends the right too.
+// Fence returns the fencing token if this front may give orders now, and false
+// otherwise. After a suspension of the machine the lease must be renewed first.
+// If servers don't check fencing tokens (checked is false), the lease must also
+// have been renewed within three quarters of its TTL.
 func (l *Lead) Fence(checked bool) (int64, bool) {
 	p := l.state().Planner
 	if p == nil || p.Run != l.Self.Run {
@@ -219,13 +232,13 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.leaving || l.suspended() || !checked && time.Since(l.renewed) > l.ttl*3/4 {
+	if l.leaving || l.suspended() || !checked && time.Since(l.renewedAt) > l.ttl*3/4 {
 		return 0, false
 	}
 	return p.Fence, true
 }
 
-// Leave gives up the registration and the planner's key.
+// Leave gives up the registration and the planner's key by releasing the lease.
 func (l *Lead) Leave(ctx context.Context) {
 	l.mu.Lock()
 	lease := l.lease
@@ -235,6 +248,6 @@
 		return
 	}
 	if err := l.store.Release(ctx, lease); err != nil {
-		l.log.Warnw("lease not released", "Error", err.Error())
+		l.log.Warnw("lease release failed; the registration stays until the lease expires", "Error", err.Error())
 	}
 }
--- a/internal/front/orders/planner.go
+++ b/internal/front/orders/planner.go
@@ -19,143 +19,164 @@
 )
 
 const (
-	// reportEvery is how often the planner reads each model server's report.
-	reportEvery = time.Second
-	// reportGap is the least time between two reports on average, so that their number does not grow with the servers.
-	reportGap = 5 * time.Millisecond
-	// boardSize bounds the servers on a board: the busiest ones, which others are to avoid.
-	boardSize = 64
-	// stepGap is the least time between two looks, in which changes gather.
-	stepGap = 5 * time.Millisecond
-	// restShare is how many times as long as a look takes the planner rests
-	// after it, so that planning leaves the processor to requests.
-	restShare = 3
-	// stepEvery bounds the time between two looks at what is wanted.
-	stepEvery = 100 * time.Millisecond
-	// useFor is how long a usage report is valid.
-	useFor = 3 * time.Second
+	// reportInterval is how often the planner reads the report of each model server.
+	reportInterval = time.Second
+	// minReportSpacing is the least average time between two report reads, so that
+	// their rate stays bounded as the number of servers grows.
+	minReportSpacing = 5 * time.Millisecond
+	// maxListedServers bounds the server loads in a reply to a front: the busiest
+	// servers, which fronts should avoid.
+	maxListedServers = 64
+	// minStepPause is the least pause between two planning steps, so that changes are
+	// handled in batches.
+	minStepPause = 5 * time.Millisecond
+	// restRatio is the ratio of the pause after a planning step to the step's
+	// duration, so that planning leaves CPU time for requests.
+	restRatio = 3
+	// maxStepInterval bounds the wait for the next planning step if nothing changes.
+	maxStepInterval = 100 * time.Millisecond
+	// usageTTL is how long a usage report is valid.
+	usageTTL = 3 * time.Second
 )
 
-// Settings are what the planner needs to know of the deployment.
+// Settings configure the planner for the deployment.
 type Settings struct {
 	Node        string
 	ChecksFence bool
-	// LoadWindow is the span over which loads from the weight store are counted.
+	// LoadWindow is the sliding window over which the rate limit of the weight store
+	// counts loads.
 	LoadWindow time.Duration
-	// TurnGap is the least time between orders of two planners to one server that does not check fences.
+	// TurnGap is the least time between the orders of two planners to a server that
+	// doesn't check fencing tokens.
 	TurnGap time.Duration
 }
 
-// Planner gives orders while its front holds the lease.
+// Planner decides which models and adapters servers load, and sends orders to them
+// while its front holds the planner's key.
 type Planner struct {
-	set   Settings
-	lead  *Lead
-	state func() *follow.State
-	wire  *wire
-	log   *zap.SugaredLogger
-	group *crew.Group
+	settings Settings
+	lead     *Lead
+	state    func() *follow.State
+	client   *serverClient
+	log      *zap.SugaredLogger
+	group    *crew.Group
 
-	mu      sync.Mutex
-	fence   int64
-	deposed int64
-	// since is when this front took over.
-	since   time.Time
-	servers map[site.Key]*server
-	wants   map[site.Adapter]*wanted
-	placing map[site.Adapter]bool
-	// inherited are the loads that were under way when another planner was last heard of.
-	inherited map[site.Key]inherited
-	// expected is when models will be served that a server loads once it is free.
-	expected map[string]time.Time
-	uses     map[string]usage
-	demand   demand
-	loads    []time.Time
-	pace     pace.Loads
-	board    []peers.Load
-	boardAt  time.Time
-	kick     chan struct{}
-	orders   *metrics.Counter
-	cold     *metrics.Counter
+	mu sync.Mutex
+	// fence is the fencing token of this front's last term as the planner.
+	fence int64
+	// deposedFence is the fencing token that a server rejected as superseded, 0 if none.
+	deposedFence int64
+	// leadingSince is when this front became the planner.
+	leadingSince time.Time
+	servers      map[site.Key]*server
+	wants        map[site.Adapter]*wantedTarget
+	// adaptersLoading are the adapters for which a load has been started.
+	adaptersLoading map[site.Adapter]bool
+	// inheritedLoads are the loads in progress in the last state that another
+	// planner published.
+	inheritedLoads map[site.Key]inheritedLoad
+	// expectedReady is when a model will be ready for which a busy server is chosen
+	// that loads it once it is available.
+	expectedReady map[string]time.Time
+	usageByFront  map[string]frontUsage
+	demand        demand
+	// storeLoadStarts are the start times of the loads from the weight store within
+	// Settings.LoadWindow.
+	storeLoadStarts []time.Time
+	// storeConcurrency estimates how many loads from the weight store run at full
+	// speed concurrently.
+	storeConcurrency pace.Loads
+	cachedLoads      []peers.Load
+	cachedLoadsAt    time.Time
+	// wakeup triggers the next planning step.
+	wakeup          chan struct{}
+	ordersTotal     *metrics.Counter
+	storeLoadsTotal *metrics.Counter
 }
 
-// usage is a front's last report of its requests in flight.
-type usage struct {
-	at       time.Time
-	inFlight map[site.Key]map[site.Adapter]int
+// frontUsage is the requests in flight by server and target in a front's last usage report.
+type frontUsage struct {
+	receivedAt time.Time
+	inFlight   map[site.Key]map[site.Adapter]int
 }
 
-// New returns a planner and the function that waits for its orders to end.
+// New returns a planner and a function that waits for its background work to end.
 func New(set Settings, lead *Lead, state func() *follow.State, pool *conns.Pool, d Dialect, meters *metrics.Set, log *zap.SugaredLogger) (*Planner, func()) {
 	group := &crew.Group{}
 	p := &Planner{
-		set: set, lead: lead, state: state, wire: &wire{pool: pool, dialect: d}, log: log, group: group,
-		servers: map[site.Key]*server{}, wants: map[site.Adapter]*wanted{}, placing: map[site.Adapter]bool{}, expected: map[string]time.Time{},
-		uses: map[string]usage{}, demand: newDemand(), kick: make(chan struct{}, 1),
-		orders: meters.GetOrCreateCounter("foxtailcroft_orders_total"), cold: meters.GetOrCreateCounter("foxtailcroft_store_loads_total"),
+		settings: set, lead: lead, state: state, client: &serverClient{pool: pool, dialect: d}, log: log, group: group,
+		servers: map[site.Key]*server{}, wants: map[site.Adapter]*wantedTarget{}, adaptersLoading: map[site.Adapter]bool{}, expectedReady: map[string]time.Time{},
+		usageByFront: map[string]frontUsage{}, demand: newDemand(), wakeup: make(chan struct{}, 1),
+		ordersTotal: meters.GetOrCreateCounter("foxtailcroft_orders_total"), storeLoadsTotal: meters.GetOrCreateCounter("foxtailcroft_store_loads_total"),
 	}
 	return p, group.Close
 }
 
-// Run looks at what is wanted whenever something changes, while the lease is held.
+// Run runs a planning step whenever the state changes, and every maxStepInterval
+// otherwise, while this front is the planner.
 func (p *Planner) Run(ctx context.Context) {
-	timer := time.NewTicker(stepEvery)
+	timer := time.NewTicker(maxStepInterval)
 	defer timer.Stop()
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 			return
-		case <-p.kick:
+		case <-p.wakeup:
 		case <-p.state().Next():
 		case <-timer.C:
 		}
-		if !p.leads() {
-			p.dismiss()
+		if !p.checkLeadership() {
+			p.rejectWaiters()
 			continue
 		}
 		began := time.Now()
-		p.refresh(ctx)
-		p.step(ctx)
-		p.answer()
-		pause.For(ctx, max(stepGap, time.Since(began)*restShare))
+		p.syncInstances(ctx)
+		p.startWork(ctx)
+		p.answerWaiters()
+		pause.For(ctx, max(minStepPause, time.Since(began)*restRatio))
 	}
 }
 
-// RunReports reads the model servers' reports while the lease is held.
+// RunReports reads the reports of all model servers periodically while this front
+// is the planner.
 func (p *Planner) RunReports(ctx context.Context) {
-	for pause.For(ctx, max(reportEvery, time.Duration(len(p.list()))*reportGap)) {
-		if !p.leads() {
+	for pause.For(ctx, max(reportInterval, time.Duration(len(p.serverList()))*minReportSpacing)) {
+		if !p.checkLeadership() {
 			continue
 		}
-		for _, s := range p.list() {
+		for _, s := range p.serverList() {
 			p.group.Go(func() { p.readReport(ctx, s) })
 		}
 		p.logDemand()
 	}
 }
 
-// leads takes note of the fencing number; a new one means that others may have given orders since.
-func (p *Planner) leads() bool {
-	fence, ok := p.lead.Fence(p.set.ChecksFence)
+// checkLeadership reports whether this front may give orders now. Under a new fencing
+// token it resets the planner's view of the servers, as other planners may have given
+// orders in between.
+func (p *Planner) checkLeadership() bool {
+	fence, ok := p.lead.Fence(p.settings.ChecksFence)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !ok || fence == p.deposed {
+	if !ok || fence == p.deposedFence {
 		return false
 	}
 	if fence != p.fence {
 		p.log.Infow("planning", "Fence", fence)
 		p.fence = fence
-		p.since = time.Now()
+		p.leadingSince = time.Now()
 		p.servers = map[site.Key]*server{}
-		p.placing = map[site.Adapter]bool{}
+		p.adaptersLoading = map[site.Adapter]bool{}
 		p.demand = newDemand()
-		// The planner before may have begun as many loads as run side by side.
-		p.loads = slices.Repeat([]time.Time{p.since}, p.pace.AtOnce())
+		// The previous planner may just have started as many loads as may run concurrently.
+		p.storeLoadStarts = slices.Repeat([]time.Time{p.leadingSince}, p.storeConcurrency.AtOnce())
 	}
-	return p.set.ChecksFence || time.Since(p.since) >= p.set.TurnGap
+	return p.settings.ChecksFence || time.Since(p.leadingSince) >= p.settings.TurnGap
 }
 
-// refresh takes over the announced instances; those that are new get their report read.
-func (p *Planner) refresh(ctx context.Context) {
+// syncInstances updates the servers from the announced instances, reads the report
+// of new ones and drops those that are gone.
+func (p *Planner) syncInstances(ctx context.Context) {
 	state := p.state()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -173,31 +194,33 @@
 			p.group.Go(func() { p.readReport(ctx, s) })
 		}
 		if s.inst.Seen != in.Seen {
-			p.takeAnnounced(s, in)
+			p.applyAnnouncement(s, in)
 		}
 		s.inst = in
 	}
 	for key, s := range p.servers {
 		if !seen[key] {
 			delete(p.servers, key)
-			s.renew()
+			s.notifyChanged()
 		}
 	}
 }
 
-// takeAnnounced notes a model whose load an announcement shows to be complete.
-func (p *Planner) takeAnnounced(s *server, in site.Instance) {
-	if s.awaited == "" || !s.busy || s.models[s.awaited] != nil || !slices.Contains(in.Models, s.awaited) {
+// applyAnnouncement marks the model that the server is loading as loaded if the
+// announcement lists it.
+// The caller must hold p.mu.
+func (p *Planner) applyAnnouncement(s *server, in site.Instance) {
+	if s.loadingModel == "" || !s.busy || s.models[s.loadingModel] != nil || !slices.Contains(in.Models, s.loadingModel) {
 		return
 	}
-	s.models[s.awaited] = keptOr(nil, time.Now())
+	s.models[s.loadingModel] = existingOrNew(nil, time.Now())
 	s.busy = false
-	s.settled()
-	s.renew()
+	s.clearEndedLoad()
+	s.notifyChanged()
 	p.wake()
 }
 
-// engineOf returns the engine of a service, or nil.
+// engineOf returns the engine of a service, or nil if it has none.
 func engineOf(s *follow.State, service string) *site.Engine {
 	if s.Document == nil || s.Document.Services[service] == nil {
 		return nil
@@ -205,7 +228,7 @@
 	return s.Document.Services[service].Engine
 }
 
-func (p *Planner) list() []*server {
+func (p *Planner) serverList() []*server {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	out := make([]*server, 0, len(p.servers))
@@ -215,17 +238,18 @@
 	return out
 }
 
-// readReport updates the belief of one server.
+// readReport reads a server's report and updates the planner's view of it. A
+// failure marks the server as lost.
 func (p *Planner) readReport(ctx context.Context, s *server) {
 	p.mu.Lock()
 	in := s.inst
-	s.asked = time.Now()
+	s.reportRequestedAt = time.Now()
 	p.mu.Unlock()
-	r, err := p.wire.report(ctx, in)
+	r, err := p.client.report(ctx, in)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err == nil && s.replaced(r) {
-		err = errMoved
+		err = errReplaced
 	}
 	if err != nil {
 		p.markLost(s, err)
@@ -233,14 +257,15 @@
 	}
 	s.lost = false
 	first := !s.known
-	if s.take(r, time.Now()) && first {
-		p.inherit(s)
-		p.log.Infow("server known", "Instance", s.inst.ID, "Born", s.inst.Born, "Sequence", r.Sequence, "Models", r.Models, "Adapters", len(r.Adapters), "OnDisk", r.OnDisk, "InMemory", r.InMemory)
+	if s.applyReport(r, time.Now()) && first {
+		p.adoptInheritedLoad(s)
+		p.log.Infow("first report of a server read; planning with it", "Instance", s.inst.ID, "Born", s.inst.Born, "Sequence", r.Sequence, "Models", r.Models, "Adapters", len(r.Adapters), "OnDisk", r.OnDisk, "InMemory", r.InMemory)
 	}
 	p.wake()
 }
 
-// markLost notes that a server did not give its report.
+// markLost marks a server as unreachable or replaced, so that it gets no orders.
+// The caller must hold p.mu.
 func (p *Planner) markLost(s *server, err error) {
 	if !s.lost {
 		p.log.Warnw("server lost", "Instance", s.inst.ID, "Born", s.inst.Born, "Error", err.Error())
@@ -249,16 +274,16 @@
 	}
 }
 
-// wake makes the planner look again after a change of belief.
+// wake triggers a planning step.
 func (p *Planner) wake() {
 	select {
-	case p.kick <- struct{}{}:
+	case p.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// touch notes the use of a model and of its adapter.
-func (s *server) touch(t site.Adapter, now time.Time) {
+// markUsed updates the last use of a model and of the adapter.
+func (s *server) markUsed(t site.Adapter, now time.Time) {
 	if h := s.models[t.Model]; h != nil {
 		h.lastUse = now
 	}
--- a/internal/front/orders/planner_test.go
+++ b/internal/front/orders/planner_test.go
@@ -30,378 +30,381 @@
 )
 
 const (
-	loadTime    = 800 * time.Millisecond
-	adapterSize = 66.0
-	modelSize   = 70000.0
-	turnGap     = 3 * time.Second
+	loadTime      = 800 * time.Millisecond
+	adapterSizeMB = 66.0
+	modelSizeMB   = 70000.0
+	handoverDelay = 3 * time.Second
 )
 
-// yard is a site with model servers and planners in one synctest bubble.
-type yard struct {
-	g       *WithT
-	ctx     context.Context
-	net     *pipes.Network
-	memory  *platf.Memory
-	book    *mimic.Book
-	servers []*mimic.Server
-	ends    []func()
-	// checksFence says that the servers refuse old fencing numbers.
+// cluster is a set of model servers and planners on one network and one store, in a
+// synctest bubble.
+type cluster struct {
+	g         *WithT
+	ctx       context.Context
+	net       *pipes.Network
+	memory    *platf.Memory
+	orderBook *mimic.Book
+	servers   []*mimic.Server
+	stops     []func()
+	// checksFence makes the servers reject old fencing tokens.
 	checksFence bool
-	fronts      []*planning
-	// looks counts the looks of planners at the state.
-	looks atomic.Int64
-	group conc.WaitGroup
+	fronts      []*testFront
+	// stateReads counts the planners' reads of the shared state.
+	stateReads atomic.Int64
+	group      conc.WaitGroup
 }
 
-// planning is one front as far as orders go.
-type planning struct {
+// testFront is the part of a front that takes part in planning.
+type testFront struct {
 	follower *follow.Follower
 	lead     *Lead
 	planner  *Planner
-	// cut keeps the front from the store.
-	cut    *cutStore
+	// store is the front's access to the store, which can be partitioned.
+	store  *partitionableStore
 	cancel context.CancelFunc
-	// frozen is the time in which the front's machine stood still, in nanoseconds.
-	frozen atomic.Int64
+	// suspendedNanos is how long the front's machine was suspended, in nanoseconds.
+	suspendedNanos atomic.Int64
 }
 
-// cutStore is a store that one front may not reach.
-type cutStore struct {
+// partitionableStore is one front's access to the store. While partitioned is set, its
+// calls go to a store that is unavailable.
+type partitionableStore struct {
 	*platf.Memory
-	away *platf.Memory
-	on   atomic.Bool
+	unreachable *platf.Memory
+	partitioned atomic.Bool
 }
 
-func (c *cutStore) reach() *platf.Memory {
-	if c.on.Load() {
-		return c.away
+func (c *partitionableStore) current() *platf.Memory {
+	if c.partitioned.Load() {
+		return c.unreachable
 	}
 	return c.Memory
 }
 
-func (c *cutStore) KeepAlive(ctx context.Context, id int64) (bool, error) {
-	return c.reach().KeepAlive(ctx, id)
+func (c *partitionableStore) KeepAlive(ctx context.Context, id int64) (bool, error) {
+	return c.current().KeepAlive(ctx, id)
 }
 
-func (c *cutStore) Commit(ctx context.Context, t store.Txn) (store.Result, error) {
-	return c.reach().Commit(ctx, t)
+func (c *partitionableStore) Commit(ctx context.Context, t store.Txn) (store.Result, error) {
+	return c.current().Commit(ctx, t)
 }
 
-func (c *cutStore) Grant(ctx context.Context, d time.Duration) (int64, error) {
-	return c.reach().Grant(ctx, d)
+func (c *partitionableStore) Grant(ctx context.Context, d time.Duration) (int64, error) {
+	return c.current().Grant(ctx, d)
 }
 
-func (c *cutStore) Watch(ctx context.Context, prefix string, after int64, fn func(store.Batch) error) error {
+func (c *partitionableStore) Watch(ctx context.Context, prefix string, after int64, fn func(store.Batch) error) error {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	return c.reach().Watch(ctx, prefix, after, fn)
+	return c.current().Watch(ctx, prefix, after, fn)
 }
 
-// open lets a test play on a site of servers and fronts; models m0.. lie one a server, with the next two on its disk.
-func open(t *testing.T, servers, fronts, models int, test func(*yard)) {
-	openWith(t, true, servers, fronts, models, test)
+// runCluster runs a test with the given numbers of servers, fronts and models. Server i
+// has model i loaded, modulo the number of models.
+func runCluster(t *testing.T, servers, fronts, models int, test func(*cluster)) {
+	runClusterWith(t, true, servers, fronts, models, test)
 }
 
-func openWith(t *testing.T, checksFence bool, servers, fronts, models int, test func(*yard)) {
+func runClusterWith(t *testing.T, checksFence bool, servers, fronts, models int, test func(*cluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		y := &yard{g: NewWithT(t), ctx: ctx, net: pipes.New(), memory: platf.NewMemory(1), book: &mimic.Book{}, checksFence: checksFence}
+		c := &cluster{g: NewWithT(t), ctx: ctx, net: pipes.New(), memory: platf.NewMemory(1), orderBook: &mimic.Book{}, checksFence: checksFence}
 		doc := `{"version":1,"routes":[],"services":[{"name":"llm","engine":{"slots":8,"weightsMb":220000,"adapterSlots":8,"loadsPerS":2,"models":[`
 		for i := range models {
 			if i > 0 {
 				doc += ","
 			}
-			doc += fmt.Sprintf(`{"name":"m%d","weightsMb":%f,"loadS":0.8,"diskS":0.8,"warmS":0.8,"adapters":20,"adapterMb":%f}`, i, modelSize, adapterSize)
+			doc += fmt.Sprintf(`{"name":"m%d","weightsMb":%f,"loadS":0.8,"diskS":0.8,"warmS":0.8,"adapters":20,"adapterMb":%f}`, i, modelSizeMB, adapterSizeMB)
 		}
-		_, err := y.memory.Commit(ctx, store.Txn{Puts: []store.Put{{Key: platform.ConfigKey, Value: []byte(doc + `]}}],"limits":{}}`)}}})
-		y.g.Expect(err).NotTo(HaveOccurred())
+		_, err := c.memory.Commit(ctx, store.Txn{Puts: []store.Put{{Key: platform.ConfigKey, Value: []byte(doc + `]}}],"limits":{}}`)}}})
+		c.g.Expect(err).NotTo(HaveOccurred())
 		for i := range servers {
-			y.addServer(i, 1, fmt.Sprintf("m%d", i%models))
+			c.addServer(i, 1, fmt.Sprintf("m%d", i%models))
 		}
 		for i := range fronts {
-			y.addFront(i)
+			c.addFront(i)
 		}
 		defer func() {
 			cancel()
-			y.group.Wait()
-			y.net.Close()
+			c.group.Wait()
+			c.net.Close()
 			time.Sleep(time.Minute)
 		}()
-		test(y)
+		test(c)
 	})
 }
 
-// addServer starts a server; one with the id of an older one takes its place.
-func (y *yard) addServer(i int, born int64, models ...string) {
+// addServer starts server i; it replaces an earlier one with the same number.
+func (c *cluster) addServer(i int, born int64, models ...string) {
 	sizes := map[string]float64{}
 	for n := range 40 {
-		sizes[fmt.Sprintf("m%d", n)] = modelSize
+		sizes[fmt.Sprintf("m%d", n)] = modelSizeMB
 	}
 	address := fmt.Sprintf("10.0.0.%d:80", i+1)
 	var s *mimic.Server
-	write := func() {
-		// Announcements go past the store's faults, as servers write for themselves.
-		_, _ = y.memory.Commit(y.ctx, store.Txn{Puts: []store.Put{{Key: s.Key(), Value: s.Announcement()}}})
+	announce := func() {
+		// Servers write their own announcements, so these bypass the fronts' partitions.
+		_, _ = c.memory.Commit(c.ctx, store.Txn{Puts: []store.Put{{Key: s.Key(), Value: s.Announcement()}}})
 	}
 	s = mimic.NewServer(mimic.Spec{
 		ID: fmt.Sprintf("i-%d", i), Born: born, Service: "llm", Address: address, Zone: "a", Slots: 8, Sizes: sizes, WeightsMb: 220000,
-		AdapterSlots: 8, LoadTime: loadTime, AdapterTime: 8 * time.Millisecond, EventTime: 20 * time.Millisecond, ChecksFence: y.checksFence, AdapterSizeMb: adapterSize,
-	}, y.book, write, models...)
-	end := y.net.Serve(address, s)
-	write()
-	if i < len(y.servers) {
-		y.servers[i], y.ends[i] = s, end
+		AdapterSlots: 8, LoadTime: loadTime, AdapterTime: 8 * time.Millisecond, EventTime: 20 * time.Millisecond, ChecksFence: c.checksFence, AdapterSizeMb: adapterSizeMB,
+	}, c.orderBook, announce, models...)
+	stop := c.net.Serve(address, s)
+	announce()
+	if i < len(c.servers) {
+		c.servers[i], c.stops[i] = s, stop
 		return
 	}
-	y.servers, y.ends = append(y.servers, s), append(y.ends, end)
+	c.servers, c.stops = append(c.servers, s), append(c.stops, stop)
 }
 
-func (y *yard) addFront(i int) {
-	ctx, cancel := context.WithCancel(y.ctx)
+func (c *cluster) addFront(i int) {
+	ctx, cancel := context.WithCancel(c.ctx)
 	began := time.Now()
-	away := platf.NewMemory(1)
-	away.SetFaults(platf.Faults{Away: true})
-	p := &planning{cut: &cutStore{Memory: y.memory, away: away}, cancel: cancel}
+	unreachable := platf.NewMemory(1)
+	unreachable.SetFaults(platf.Faults{Away: true})
+	p := &testFront{store: &partitionableStore{Memory: c.memory, unreachable: unreachable}, cancel: cancel}
 	name, log := fmt.Sprintf("front-%d", i), zap.NewNop().Sugar()
 	layout := follow.Layout{DocumentKey: platform.ConfigKey, InstancePrefix: platform.ServerPrefix, Prefixes: []string{platform.OperatorPrefix, platform.ServerPrefix, follow.OwnPrefix}}
-	p.follower = follow.New(name, p.cut, platform.Dialect{}, layout, follow.Times{Returning: 2 * time.Second, Gather: 600 * time.Millisecond}, log)
+	p.follower = follow.New(name, p.store, platform.Dialect{}, layout, follow.Times{Returning: 2 * time.Second, Gather: 600 * time.Millisecond}, log)
 	p.lead = NewLead(LeadOptions{
 		Name: name, Address: name + ":1", MinLease: time.Second,
-		Boot: func() time.Duration { return time.Since(began) + time.Duration(p.frozen.Load()) },
-	}, p.cut, p.follower.State, log)
-	pool, closePool := conns.New(y.net.Dial, metrics.NewSet())
+		Boot: func() time.Duration { return time.Since(began) + time.Duration(p.suspendedNanos.Load()) },
+	}, p.store, p.follower.State, log)
+	pool, closePool := conns.New(c.net.Dial, metrics.NewSet())
 	var closePlanner func()
-	p.planner, closePlanner = New(Settings{Node: name, ChecksFence: y.checksFence, LoadWindow: 5 * time.Second, TurnGap: turnGap}, p.lead, func() *follow.State {
-		y.looks.Add(1)
+	p.planner, closePlanner = New(Settings{Node: name, ChecksFence: c.checksFence, LoadWindow: 5 * time.Second, TurnGap: handoverDelay}, p.lead, func() *follow.State {
+		c.stateReads.Add(1)
 		return p.follower.State()
 	}, pool, platform.Dialect{}, metrics.NewSet(), log)
 	for _, run := range []func(context.Context){p.follower.Run, p.lead.Run, p.planner.Run, p.planner.RunReports} {
-		y.group.Go(func() { run(ctx) })
+		c.group.Go(func() { run(ctx) })
 	}
-	y.group.Go(func() {
+	c.group.Go(func() {
 		<-ctx.Done()
 		closePlanner()
 		closePool()
 	})
-	y.fronts = append(y.fronts, p)
+	c.fronts = append(c.fronts, p)
 }
 
-// planner returns the front that plans, as every front sees it in the end.
-func (y *yard) planner() *planning {
+// leader returns the front that is the planner, and waits until there is one.
+func (c *cluster) leader() *testFront {
 	for range 200 {
-		for _, p := range y.fronts {
-			if p.planner.leads() {
+		for _, p := range c.fronts {
+			if p.planner.checkLeadership() {
 				return p
 			}
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	y.g.Fail("nobody plans")
+	c.g.Fail("no front became the planner within 10 s")
 	return nil
 }
 
-func (y *yard) want(model, adapter string, wait time.Duration) (peers.Found, error) {
-	return y.planner().planner.Want(y.ctx, peers.Want{Service: "llm", Target: site.Adapter{Model: model, Name: adapter}, Wait: wait, Answer: wait})
+func (c *cluster) want(model, adapter string, wait time.Duration) (peers.Found, error) {
+	return c.leader().planner.Want(c.ctx, peers.Want{Service: "llm", Target: site.Adapter{Model: model, Name: adapter}, Wait: wait, Answer: wait})
 }
 
 func TestMissingModelIsLoadedWhileRequestsWait(t *testing.T) {
-	open(t, 2, 1, 6, func(y *yard) {
+	runCluster(t, 2, 1, 6, func(c *cluster) {
 		time.Sleep(5 * time.Second)
 		began := time.Now()
 		var group conc.WaitGroup
 		for range 8 {
 			group.Go(func() {
-				found, err := y.want("m5", "", 4*time.Second)
-				y.g.Expect(err).NotTo(HaveOccurred())
-				y.g.Expect(found.Instances).To(HaveLen(1))
+				found, err := c.want("m5", "", 4*time.Second)
+				c.g.Expect(err).NotTo(HaveOccurred())
+				c.g.Expect(found.Instances).To(HaveLen(1))
 			})
 		}
 		group.Wait()
-		y.g.Expect(time.Since(began)).To(BeNumerically("<", loadTime+300*time.Millisecond))
-		y.g.Expect(y.book.Broken()).To(BeEmpty())
+		c.g.Expect(time.Since(began)).To(BeNumerically("<", loadTime+300*time.Millisecond))
+		c.g.Expect(c.orderBook.Broken()).To(BeEmpty())
 	})
 }
 
-func TestAdaptersBeyondThePlacesTakeTurns(t *testing.T) {
-	open(t, 1, 1, 1, func(y *yard) {
+func TestAdaptersBeyondFreePlacesAreSwappedIn(t *testing.T) {
+	runCluster(t, 1, 1, 1, func(c *cluster) {
 		time.Sleep(5 * time.Second)
 		for i := range 20 {
-			found, err := y.want("m0", fmt.Sprintf("a%d", i+1), 2*time.Second)
-			y.g.Expect(err).NotTo(HaveOccurred())
-			y.g.Expect(found.Instances).To(HaveLen(1), "adapter %d", i+1)
+			found, err := c.want("m0", fmt.Sprintf("a%d", i+1), 2*time.Second)
+			c.g.Expect(err).NotTo(HaveOccurred())
+			c.g.Expect(found.Instances).To(HaveLen(1), "adapter %d", i+1)
 		}
-		y.g.Expect(y.book.Broken()).To(BeEmpty())
+		c.g.Expect(c.orderBook.Broken()).To(BeEmpty())
 	})
 }
 
-// TestPlannerFindsBackIntoStep gives orders behind the planner's back, so that
-// the number of orders it knows is too high or too low.
-func TestPlannerFindsBackIntoStep(t *testing.T) {
-	for _, off := range []int64{-2, 3} {
-		open(t, 1, 1, 1, func(y *yard) {
+// TestPlannerResynchronizesOrderSequence shifts the sequence number that the planner
+// knows, as if it had missed orders or counted too many.
+func TestPlannerResynchronizesOrderSequence(t *testing.T) {
+	for _, offset := range []int64{-2, 3} {
+		runCluster(t, 1, 1, 1, func(c *cluster) {
 			time.Sleep(5 * time.Second)
-			p := y.planner().planner
+			p := c.leader().planner
 			p.mu.Lock()
 			for _, s := range p.servers {
-				s.sequence += off
+				s.sequence += offset
 			}
 			p.mu.Unlock()
-			found, err := y.want("m0", "a1", 3*time.Second)
-			y.g.Expect(err).NotTo(HaveOccurred())
-			y.g.Expect(found.Instances).To(HaveLen(1), "off by %d", off)
+			found, err := c.want("m0", "a1", 3*time.Second)
+			c.g.Expect(err).NotTo(HaveOccurred())
+			c.g.Expect(found.Instances).To(HaveLen(1), "sequence number off by %d", offset)
 		})
 	}
 }
 
 func TestDeadServerIsReplaced(t *testing.T) {
-	open(t, 3, 1, 3, func(y *yard) {
+	runCluster(t, 3, 1, 3, func(c *cluster) {
 		time.Sleep(5 * time.Second)
-		y.ends[0]()
-		found, err := y.planner().planner.Want(y.ctx, peers.Want{
+		c.stops[0]()
+		found, err := c.leader().planner.Want(c.ctx, peers.Want{
 			Service: "llm", Target: site.Adapter{Model: "m0"}, Wait: 5 * time.Second, Answer: 5 * time.Second, Avoid: []site.Key{{ID: "i-0", Born: 1}},
 		})
-		y.g.Expect(err).NotTo(HaveOccurred())
-		y.g.Expect(found.Instances).NotTo(ContainElement(site.Key{ID: "i-0", Born: 1}))
-		y.g.Expect(found.Instances).NotTo(BeEmpty())
+		c.g.Expect(err).NotTo(HaveOccurred())
+		c.g.Expect(found.Instances).NotTo(ContainElement(site.Key{ID: "i-0", Born: 1}))
+		c.g.Expect(found.Instances).NotTo(BeEmpty())
 	})
 }
 
-func TestPlannerCutFromTheStoreIsFollowedByAnother(t *testing.T) {
-	open(t, 2, 3, 6, func(y *yard) {
-		first := y.planner()
+func TestPlannerPartitionedFromStoreIsReplaced(t *testing.T) {
+	runCluster(t, 2, 3, 6, func(c *cluster) {
+		first := c.leader()
 		time.Sleep(4 * time.Second)
-		first.cut.on.Store(true)
+		first.store.partitioned.Store(true)
 		time.Sleep(4 * time.Second)
-		var next *planning
-		for _, p := range y.fronts {
-			if p != first && p.planner.leads() {
-				next = p
+		var successor *testFront
+		for _, p := range c.fronts {
+			if p != first && p.planner.checkLeadership() {
+				successor = p
 			}
 		}
-		y.g.Expect(next).NotTo(BeNil())
-		found, err := next.planner.Want(y.ctx, peers.Want{Service: "llm", Target: site.Adapter{Model: "m5"}, Wait: 5 * time.Second, Answer: 5 * time.Second})
-		y.g.Expect(err).NotTo(HaveOccurred())
-		y.g.Expect(found.Instances).NotTo(BeEmpty())
+		c.g.Expect(successor).NotTo(BeNil())
+		found, err := successor.planner.Want(c.ctx, peers.Want{Service: "llm", Target: site.Adapter{Model: "m5"}, Wait: 5 * time.Second, Answer: 5 * time.Second})
+		c.g.Expect(err).NotTo(HaveOccurred())
+		c.g.Expect(found.Instances).NotTo(BeEmpty())
 		fences := map[string]int64{}
-		for _, o := range y.book.Orders() {
-			y.g.Expect(o.Fence).To(BeNumerically(">=", fences[o.Server]))
+		for _, o := range c.orderBook.Orders() {
+			c.g.Expect(o.Fence).To(BeNumerically(">=", fences[o.Server]))
 			fences[o.Server] = o.Fence
 		}
 	})
 }
 
-// TestTurnsOfPlannersWhereFencesAreNotChecked cuts planners from the store one
-// after another: orders of two planners to one server are a turn's gap apart.
-func TestTurnsOfPlannersWhereFencesAreNotChecked(t *testing.T) {
-	openWith(t, false, 2, 3, 8, func(y *yard) {
+// TestHandoverDelayWithoutFenceChecks partitions planners from the store one after the
+// other. The orders of two planners to one server must be at least handoverDelay apart.
+func TestHandoverDelayWithoutFenceChecks(t *testing.T) {
+	runClusterWith(t, false, 2, 3, 8, func(c *cluster) {
 		var group conc.WaitGroup
 		for round := range 6 {
-			y.planner().cut.on.Store(round%2 == 0)
+			c.leader().store.partitioned.Store(round%2 == 0)
 			for i := range 60 {
-				for _, p := range y.fronts {
+				for _, p := range c.fronts {
 					group.Go(func() {
-						_, _ = p.planner.Want(y.ctx, peers.Want{Service: "llm", Target: site.Adapter{Model: fmt.Sprintf("m%d", i%8)}, Wait: time.Second, Answer: time.Second})
+						_, _ = p.planner.Want(c.ctx, peers.Want{Service: "llm", Target: site.Adapter{Model: fmt.Sprintf("m%d", i%8)}, Wait: time.Second, Answer: time.Second})
 					})
 				}
 				time.Sleep(100 * time.Millisecond)
 			}
-			for _, p := range y.fronts {
-				p.cut.on.Store(false)
+			for _, p := range c.fronts {
+				p.store.partitioned.Store(false)
 			}
 		}
 		group.Wait()
 		last := map[string]mimic.Ordered{}
-		turns := 0
-		for _, o := range y.book.Orders() {
+		handovers := 0
+		for _, o := range c.orderBook.Orders() {
 			if before, ok := last[o.Server]; ok && before.Holder != o.Holder {
-				turns++
-				y.g.Expect(o.At.Sub(before.At)).To(BeNumerically(">=", turnGap), "%s after %s at %s", o.Holder, before.Holder, o.Server)
+				handovers++
+				c.g.Expect(o.At.Sub(before.At)).To(BeNumerically(">=", handoverDelay), "%s after %s at %s", o.Holder, before.Holder, o.Server)
 			}
 			last[o.Server] = o
 		}
-		y.g.Expect(turns).To(BeNumerically(">", 0))
+		c.g.Expect(handovers).To(BeNumerically(">", 0))
 	})
 }
 
-// TestLoadsStayUnderTheStoresRate begins a load whenever one is allowed, with
-// planners that follow each other: no window holds more than the store's rate allows.
-func TestLoadsStayUnderTheStoresRate(t *testing.T) {
+// TestLoadsStayWithinStoreRate starts a load whenever one is allowed, with planners
+// succeeding each other. No window may contain more loads than the store's rate allows.
+func TestLoadsStayWithinStoreRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		engine := &site.Engine{LoadsPerSecond: 2.1}
 		const window = 5 * time.Second
-		p := &Planner{set: Settings{LoadWindow: window}, pace: pace.Known(4), servers: map[site.Key]*server{}}
+		p := &Planner{settings: Settings{LoadWindow: window}, storeConcurrency: pace.Known(4), servers: map[site.Key]*server{}}
 		var begun []time.Time
 		for i := range 400 {
 			if i%150 == 149 {
-				p = &Planner{set: p.set, pace: p.pace, servers: map[site.Key]*server{}}
-				p.loads = slices.Repeat([]time.Time{time.Now()}, p.pace.AtOnce())
+				p = &Planner{settings: p.settings, storeConcurrency: p.storeConcurrency, servers: map[site.Key]*server{}}
+				p.storeLoadStarts = slices.Repeat([]time.Time{time.Now()}, p.storeConcurrency.AtOnce())
 			}
-			if p.loadsLeft(engine, time.Now()) > 0 {
-				p.loads = append(p.loads, time.Now())
+			if p.storeLoadsAllowed(engine, time.Now()) > 0 {
+				p.storeLoadStarts = append(p.storeLoadStarts, time.Now())
 				begun = append(begun, time.Now())
 			}
-			in := 0
+			inWindow := 0
 			for _, at := range begun {
 				if time.Since(at) <= window {
-					in++
+					inWindow++
 				}
 			}
-			g.Expect(float64(in)).To(BeNumerically("<=", engine.LoadsPerSecond*window.Seconds()*1.1+3))
+			g.Expect(float64(inWindow)).To(BeNumerically("<=", engine.LoadsPerSecond*window.Seconds()*1.1+3))
 			time.Sleep(100 * time.Millisecond)
 		}
 		g.Expect(len(begun)).To(BeNumerically(">", 40))
 	})
 }
 
-func TestAfterASuspensionTheLeaseIsRenewedBeforeOrders(t *testing.T) {
-	open(t, 1, 1, 2, func(y *yard) {
-		p := y.planner()
+func TestSuspensionRequiresLeaseRenewalBeforeOrders(t *testing.T) {
+	runCluster(t, 1, 1, 2, func(c *cluster) {
+		p := c.leader()
 		time.Sleep(3 * time.Second)
-		p.cut.on.Store(true)
-		p.frozen.Store(int64(5 * time.Second))
-		y.g.Expect(p.planner.leads()).To(BeFalse(), "the lease may be another's by now")
-		p.cut.on.Store(false)
+		p.store.partitioned.Store(true)
+		p.suspendedNanos.Store(int64(5 * time.Second))
+		c.g.Expect(p.planner.checkLeadership()).To(BeFalse(), "another front may hold the planner's key by now")
+		p.store.partitioned.Store(false)
 		time.Sleep(2 * time.Second)
-		y.g.Expect(p.planner.leads()).To(BeTrue())
+		c.g.Expect(p.planner.checkLeadership()).To(BeTrue())
 	})
 }
 
-// TestOrdersStayInBoundsUnderFaults draws lost and late orders, crashes under
-// the same id, cut planners and a burst of wants, and checks that no server is
-// ever ordered to hold more than fits, that no fence goes back, and that loads
-// begin under the store's rate.
+// TestOrdersStayInBoundsUnderFaults injects delayed orders (some beyond their timeout),
+// servers that restart under the same ID, partitioned planners and bursts of requests. It checks that servers
+// accept no order that breaks their limits, such as one that exceeds their memory, and
+// that every fencing token belongs to one planner.
 func TestOrdersStayInBoundsUnderFaults(t *testing.T) {
 	t.Logf("FOXTAILCROFT_SEED=%d", draws.Seed())
 	rapid.Check(t, func(rt *rapid.T) {
 		seed := rapid.Uint64().Draw(rt, "seed")
-		open(t, 4, 3, 14, func(y *yard) { y.storm(rand.New(rand.NewPCG(seed, draws.Seed()))) })
+		runCluster(t, 4, 3, 14, func(c *cluster) { c.injectFaults(rand.New(rand.NewPCG(seed, draws.Seed()))) })
 	})
 }
 
-func (y *yard) storm(rnd *rand.Rand) {
+func (c *cluster) injectFaults(rnd *rand.Rand) {
 	time.Sleep(3 * time.Second)
 	var group conc.WaitGroup
 	for range 60 {
 		switch model := fmt.Sprintf("m%d", rnd.IntN(14)); rnd.IntN(10) {
 		case 0:
-			y.servers[rnd.IntN(len(y.servers))].SetFaults(mimic.Faults{LateOrders: 1 + rnd.IntN(2), LateBy: time.Duration(rnd.IntN(6000)) * time.Millisecond})
+			c.servers[rnd.IntN(len(c.servers))].SetFaults(mimic.Faults{LateOrders: 1 + rnd.IntN(2), LateBy: time.Duration(rnd.IntN(6000)) * time.Millisecond})
 		case 1:
-			i := rnd.IntN(len(y.servers))
-			y.ends[i]()
+			i := rnd.IntN(len(c.servers))
+			c.stops[i]()
 			time.Sleep(time.Duration(rnd.IntN(1500)) * time.Millisecond)
-			y.addServer(i, time.Now().UnixMilli())
+			c.addServer(i, time.Now().UnixMilli())
 		case 2:
-			p := y.fronts[rnd.IntN(len(y.fronts))]
-			p.cut.on.Store(!p.cut.on.Load())
+			p := c.fronts[rnd.IntN(len(c.fronts))]
+			p.store.partitioned.Store(!p.store.partitioned.Load())
 		default:
 			adapter := ""
 			if rnd.IntN(2) == 0 {
 				adapter = fmt.Sprintf("a%d", rnd.IntN(20)+1)
 			}
-			for _, p := range y.fronts {
+			for _, p := range c.fronts {
 				group.Go(func() {
-					_, _ = p.planner.Want(y.ctx, peers.Want{Service: "llm", Target: site.Adapter{Model: model, Name: adapter}, Wait: 3 * time.Second, Answer: time.Second})
+					_, _ = p.planner.Want(c.ctx, peers.Want{Service: "llm", Target: site.Adapter{Model: model, Name: adapter}, Wait: 3 * time.Second, Answer: time.Second})
 				})
 			}
 		}
@@ -409,12 +412,12 @@
 	}
 	group.Wait()
 	time.Sleep(15 * time.Second)
-	y.g.Expect(y.book.Broken()).To(BeEmpty())
+	c.g.Expect(c.orderBook.Broken()).To(BeEmpty())
 	fences := map[string]int64{}
 	holders := map[int64]string{}
-	for _, o := range y.book.Orders() {
+	for _, o := range c.orderBook.Orders() {
 		if h, ok := holders[o.Fence]; ok {
-			y.g.Expect(o.Holder).To(Equal(h), "one fence has one holder")
+			c.g.Expect(o.Holder).To(Equal(h), "a fencing token belongs to one planner")
 		}
 		holders[o.Fence] = o.Holder
 		fences[o.Server] = max(fences[o.Server], o.Fence)
--- a/internal/front/orders/server.go
+++ b/internal/front/orders/server.go
@@ -8,149 +8,166 @@
 	"foxtailcroft/internal/policy/fade"
 )
 
-// server is what the planner believes of one incarnation of a model server.
-// All fields but turn belong to the planner's lock.
+// server is the planner's view of one incarnation of a model server. All fields
+// but orderSlot are guarded by Planner.mu.
 type server struct {
 	inst site.Instance
-	// turn holds a token while an order is given, so that orders go out one at a time.
-	turn chan struct{}
-	// changed is closed when what it holds may have changed.
+	// orderSlot holds an element while an order is in flight, so that orders go out
+	// one at a time.
+	orderSlot chan struct{}
+	// changed is closed and replaced when the loaded models or adapters may have changed.
 	changed chan struct{}
-	// known is false until a report was read.
-	known    bool
+	// known is false until a report has been read.
+	known bool
+	// sequence is the number of orders that the server has accepted.
 	sequence int64
+	// busy is set while the server loads or unloads a model.
 	busy     bool
-	models   map[string]*held
-	adapters map[site.Adapter]*held
+	models   map[string]*loadedItem
+	adapters map[site.Adapter]*loadedItem
+	// onDisk and inMemory are the models whose weights the server has on its disk or
+	// in its host memory, so that it doesn't need the weight store to load them.
 	onDisk   []string
 	inMemory []string
-	// running counts the requests that run or wait, by the report that came in at reported.
-	running  int
-	reported time.Time
-	// pauses is the longest pause of streams there.
-	pauses fade.Peak
-	// awaited is the model that the running job will load, and readyAt the forecast for it.
-	awaited string
-	readyAt time.Time
-	engaged bool
-	// evicting are the models that the running job unloads.
+	// requests is the number of running and waiting requests in the report that was
+	// read at reportedAt.
+	requests   int
+	reportedAt time.Time
+	// pausePeak is the longest pause between two events of a stream, decaying over time.
+	pausePeak fade.Peak
+	// loadingModel is the model that the swap in progress loads, empty if none, and
+	// readyAt when it is expected to be ready.
+	loadingModel string
+	readyAt      time.Time
+	// reserved is set while this planner carries out a swap at the server.
+	reserved bool
+	// evicting are the models that the swap in progress unloads.
 	evicting []string
-	// lost is set while the server does not take connections.
+	// lost is set while the server's report can't be read, after a connection to it
+	// failed, or while another instance answers at its address.
 	lost bool
-	// asked is when its report was last asked for.
-	asked time.Time
-	// resync is set when the server refused an order for its number: the next
-	// report is believed even if it counts fewer orders.
+	// reportRequestedAt is when the report was last requested.
+	reportRequestedAt time.Time
+	// resync is set when the server rejected an order for its sequence number. The
+	// next report is then accepted even if its sequence number is lower.
 	resync bool
-	// restsUntil is until when no order is given, after one that was refused.
-	restsUntil time.Time
-	// uncertain is set when an order's answer was lost: nothing is ordered until a report has been read.
-	uncertain bool
+	// pausedUntil is the end of the pause after an order that the server rejected as invalid.
+	pausedUntil time.Time
+	// outcomeUnknown is set when the answer to an order was lost. No order is sent
+	// until a report has been read.
+	outcomeUnknown bool
 }
 
-// held is a model or adapter in a server's memory.
-type held struct {
-	since   time.Time
-	lastUse time.Time
-	// leaving is set once its unload was ordered.
-	leaving bool
+// loadedItem is a model or adapter in a server's memory.
+type loadedItem struct {
+	loadedAt time.Time
+	lastUse  time.Time
+	// unloading is set once it has been chosen for an unload.
+	unloading bool
 }
 
 func newServer(in site.Instance) *server {
-	return &server{inst: in, turn: make(chan struct{}, 1), changed: make(chan struct{}), models: map[string]*held{}, adapters: map[site.Adapter]*held{}}
+	return &server{inst: in, orderSlot: make(chan struct{}, 1), changed: make(chan struct{}), models: map[string]*loadedItem{}, adapters: map[site.Adapter]*loadedItem{}}
 }
 
-// take updates the belief by a report unless it is older than the orders that
-// were accepted since. Reports lag: one that counts the same orders may have been
-// made before what an announcement has shown, so it adds to what is held, and
-// takes away only what was ordered to leave.
-func (s *server) take(r site.Report, now time.Time) bool {
+// applyReport updates the server from a report, and returns false if the report is
+// older than the last accepted order or comes from another incarnation. Reports
+// lag: one with the same sequence number may be older than an announcement that was
+// already applied. It therefore only adds loaded items, and removes only those
+// whose unload was ordered.
+func (s *server) applyReport(r site.Report, now time.Time) bool {
 	if s.replaced(r) || s.known && !s.resync && r.Sequence < s.sequence {
 		return false
 	}
-	same := s.known && !s.resync && r.Sequence == s.sequence
-	busy := r.Busy && (!same || s.busy)
-	since := now
+	sameSequence := s.known && !s.resync && r.Sequence == s.sequence
+	busy := r.Busy && (!sameSequence || s.busy)
+	loadedAt := now
 	if !s.known {
-		// What the first report lists was there before.
-		since = now.Add(-heldBefore)
+		// What the first report lists was loaded earlier.
+		loadedAt = now.Add(-preexistingAge)
 	}
-	models := map[string]*held{}
+	models := map[string]*loadedItem{}
 	for _, m := range r.Models {
-		models[m] = keptOr(s.models[m], since)
+		models[m] = existingOrNew(s.models[m], loadedAt)
 	}
-	adapters := map[site.Adapter]*held{}
+	adapters := map[site.Adapter]*loadedItem{}
 	for _, a := range r.Adapters {
-		adapters[a] = keptOr(s.adapters[a], since)
+		adapters[a] = existingOrNew(s.adapters[a], loadedAt)
 	}
-	if same {
-		keepHeld(models, s.models, r.Busy)
-		keepHeld(adapters, s.adapters, r.Busy)
+	if sameSequence {
+		keepUnlisted(models, s.models, r.Busy)
+		keepUnlisted(adapters, s.adapters, r.Busy)
 	}
 	s.models, s.adapters = models, adapters
-	s.known, s.sequence, s.busy, s.uncertain, s.resync = true, r.Sequence, busy, false, false
-	s.running, s.reported = r.Running+r.Waiting, now
+	s.known, s.sequence, s.busy, s.outcomeUnknown, s.resync = true, r.Sequence, busy, false, false
+	s.requests, s.reportedAt = r.Running+r.Waiting, now
 	s.onDisk, s.inMemory = r.OnDisk, r.InMemory
-	s.settled()
-	s.renew()
+	s.clearEndedLoad()
+	s.notifyChanged()
 	return true
 }
 
-// renew notifies those who wait for a change.
-func (s *server) renew() {
+// notifyChanged wakes those that wait for a change of the server.
+func (s *server) notifyChanged() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// settled forgets a load of another planner that has ended; own loads end with their engagement.
-func (s *server) settled() {
-	if !s.busy && !s.engaged {
-		s.awaited = ""
+// clearEndedLoad clears a load of the previous planner once it has ended. Loads of
+// this planner are cleared by releaseServer.
+func (s *server) clearEndedLoad() {
+	if !s.busy && !s.reserved {
+		s.loadingModel = ""
 	}
 }
 
-// heldBefore is how old something counts that was found at a server.
-const heldBefore = 10 * time.Second
+// preexistingAge is the assumed age of what a server's first report lists. Without
+// it a new planner couldn't evict anything at first, as recently loaded models are kept.
+const preexistingAge = 10 * time.Second
 
-// replaced reports whether a report comes from another start than the one that is meant.
+// replaced reports whether a report comes from another incarnation of the server.
 func (s *server) replaced(r site.Report) bool {
 	return r.Born != 0 && s.inst.Born != 0 && r.Born != s.inst.Born
 }
 
-// keepHeld adds to what a report lists all that is held, also what leaves while that is under way.
-func keepHeld[K comparable](listed, before map[K]*held, busy bool) {
-	for k, h := range before {
-		if listed[k] == nil && (!h.leaving || busy) {
+// keepUnlisted adds the previous items that a report doesn't list, except those that
+// were being unloaded if the server isn't busy any more.
+func keepUnlisted[K comparable](listed, previous map[K]*loadedItem, busy bool) {
+	for k, h := range previous {
+		if listed[k] == nil && (!h.unloading || busy) {
 			listed[k] = h
 		}
 	}
 }
 
-func keptOr(h *held, now time.Time) *held {
+// existingOrNew returns the item, or a new one that was loaded and last used at the
+// given time if it is nil.
+func existingOrNew(h *loadedItem, now time.Time) *loadedItem {
 	if h != nil {
 		return h
 	}
-	return &held{since: now, lastUse: now}
+	return &loadedItem{loadedAt: now, lastUse: now}
 }
 
-// serves reports whether a target is loaded and stays.
+// serves reports whether a target is loaded and ready, and neither it nor the server
+// is going away.
 func (s *server) serves(t site.Adapter) bool {
 	m := s.models[t.Model]
-	if m == nil || m.leaving || s.inst.Leaving || s.lost {
+	if m == nil || m.unloading || s.inst.Leaving || s.lost {
 		return false
 	}
 	if t.Name == "" {
 		return true
 	}
 	a := s.adapters[t]
-	return a != nil && !a.leaving && time.Since(a.since) >= adapterTime
+	return a != nil && !a.unloading && time.Since(a.loadedAt) >= adapterLoadTime
 }
 
-// admits reports whether an order may go out on what is believed at this
-// number of accepted orders: one at a time, and never more than fits. A server
-// whose number differs refuses the order, so what was checked here is what it holds.
-func (s *server) admits(o site.Order, e *site.Engine) bool {
-	if !s.known || s.lost || s.busy || s.uncertain || s.inst.Leaving || e == nil {
+// allowsOrder reports whether an order may be sent: only one at a time, and only if
+// the result fits in the server's memory and adapter places. The check is valid for
+// the current sequence number; a server with another one rejects the order.
+func (s *server) allowsOrder(o site.Order, e *site.Engine) bool {
+	if !s.known || s.lost || s.busy || s.outcomeUnknown || s.inst.Leaving || e == nil {
 		return false
 	}
 	m := e.Model(o.Target.Model)
@@ -167,42 +184,44 @@
 	return s.usedMB(e)+m.SizeMB <= e.WeightsMB
 }
 
-// free reports whether an order may be given now.
-func (s *server) free() bool {
-	return s.known && !s.lost && !s.busy && !s.engaged && !s.uncertain && !s.inst.Leaving && !time.Now().Before(s.restsUntil)
+// available reports whether the server can take an order now.
+func (s *server) available() bool {
+	return s.known && !s.lost && !s.busy && !s.reserved && !s.outcomeUnknown && !s.inst.Leaving && !time.Now().Before(s.pausedUntil)
 }
 
-// adapterStays is how long an adapter stays after it was loaded or given to a
-// request, so that the request arrives and its front has reported the use.
-const adapterStays = 700 * time.Millisecond
+// minAdapterStay is how long an adapter is kept after it was loaded or assigned to a
+// request, so that the request can arrive and its front can report the use.
+const minAdapterStay = 700 * time.Millisecond
 
-// freeIn forecasts when an engaged server takes orders again; negative if its state is not known.
-func (s *server) freeIn(now time.Time) time.Duration {
-	if !s.known || s.lost || s.uncertain || s.inst.Leaving || !s.engaged && s.awaited == "" {
+// availableIn returns the expected time until a server with a load in progress is
+// available again; negative if it has none or its state is unknown.
+func (s *server) availableIn(now time.Time) time.Duration {
+	if !s.known || s.lost || s.outcomeUnknown || s.inst.Leaving || !s.reserved && s.loadingModel == "" {
 		return -1
 	}
-	return max(s.readyAt.Sub(now), overrun)
+	return max(s.readyAt.Sub(now), overdueAvailableIn)
 }
 
-// overrun is the forecast for what should have ended already.
-const overrun = 200 * time.Millisecond
+// overdueAvailableIn is the forecast for a load that is past its expected end.
+const overdueAvailableIn = 200 * time.Millisecond
 
-// oldest returns the adapter that was unused for longest, and since when; those in use or about to be are passed over.
-func (s *server) oldest(now time.Time, inUse func(site.Key, site.Adapter) int) (site.Adapter, time.Time, bool) {
+// leastRecentlyUsedAdapter returns the adapter to evict and its last use, and false
+// if all are in use, about to be used or already being unloaded.
+func (s *server) leastRecentlyUsedAdapter(now time.Time, requestsInFlight func(site.Key, site.Adapter) int) (site.Adapter, time.Time, bool) {
 	var best site.Adapter
-	var at time.Time
+	var lastUse time.Time
 	for a, h := range s.adapters {
-		if h.leaving || now.Sub(h.lastUse) < adapterStays || inUse(s.inst.Key, a) > 0 {
+		if h.unloading || now.Sub(h.lastUse) < minAdapterStay || requestsInFlight(s.inst.Key, a) > 0 {
 			continue
 		}
-		if at.IsZero() || h.lastUse.Before(at) {
-			best, at = a, h.lastUse
+		if lastUse.IsZero() || h.lastUse.Before(lastUse) {
+			best, lastUse = a, h.lastUse
 		}
 	}
-	return best, at, !at.IsZero()
+	return best, lastUse, !lastUse.IsZero()
 }
 
-// usedMB sums the sizes of what the server holds.
+// usedMB returns the total size of the loaded models and adapters.
 func (s *server) usedMB(e *site.Engine) float64 {
 	sum := 0.0
 	for name := range s.models {
@@ -218,11 +237,11 @@
 	return sum
 }
 
-// modelNames returns the models that are loaded and stay, ordered.
+// modelNames returns the names of the loaded models that aren't being unloaded, sorted.
 func (s *server) modelNames() []string {
 	var out []string
 	for name, h := range s.models {
-		if !h.leaving {
+		if !h.unloading {
 			out = append(out, name)
 		}
 	}
--- a/internal/front/orders/server_test.go
+++ b/internal/front/orders/server_test.go
@@ -9,18 +9,18 @@
 	"foxtailcroft/internal/core/site"
 )
 
-// TestReports covers what a report may change of a belief: it lags by some
-// hundred milliseconds, so that one with the same number of orders may be older
-// than an announcement.
-func TestReports(t *testing.T) {
+// TestApplyReport checks what a report may change in the planner's view of a server.
+// Reports lag by some hundred milliseconds, so one with the same sequence number may
+// be older than an announcement that was already applied.
+func TestApplyReport(t *testing.T) {
 	now := time.Now()
 	a1 := site.Adapter{Model: "m1", Name: "a1"}
-	believed := func() *server {
+	newTestServer := func() *server {
 		s := newServer(site.Instance{Key: site.Key{ID: "i-1", Born: 7}})
 		s.known, s.sequence = true, 8
-		s.models["m1"] = &held{since: now}
-		s.models["old"] = &held{since: now, leaving: true}
-		s.adapters[a1] = &held{since: now}
+		s.models["m1"] = &loadedItem{loadedAt: now}
+		s.models["old"] = &loadedItem{loadedAt: now, unloading: true}
+		s.adapters[a1] = &loadedItem{loadedAt: now}
 		return s
 	}
 	cases := []struct {
@@ -30,25 +30,25 @@
 		models   []string
 		adapters int
 		busy     bool
-		taken    bool
+		applied  bool
 	}{
-		{"older by its number", nil, site.Report{Born: 7, Sequence: 7}, []string{"m1", "old"}, 1, false, false},
-		{"same number, older than the announcement of m1", nil, site.Report{Born: 7, Sequence: 8, Busy: true}, []string{"m1", "old"}, 1, false, true},
-		{"same number, the unload has ended", nil, site.Report{Born: 7, Sequence: 8, Models: []string{"m1"}, Adapters: []site.Adapter{a1}}, []string{"m1"}, 1, false, true},
-		{"same number, another model has been loaded", func(s *server) { s.busy = true }, site.Report{Born: 7, Sequence: 8, Models: []string{"m1", "m2"}}, []string{"m1", "m2"}, 1, false, true},
-		{"same number, still busy", func(s *server) { s.busy = true }, site.Report{Born: 7, Sequence: 8, Busy: true, Models: []string{"m1"}}, []string{"m1", "old"}, 1, true, true},
-		{"more orders: believed whole", nil, site.Report{Born: 7, Sequence: 9, Models: []string{"m3"}}, []string{"m3"}, 0, false, true},
-		{"fewer orders after a conflict: believed whole", func(s *server) { s.resync = true }, site.Report{Born: 7, Sequence: 5, Models: []string{"m3"}}, []string{"m3"}, 0, false, true},
-		{"of another start", nil, site.Report{Born: 9, Sequence: 9}, []string{"m1", "old"}, 1, false, false},
+		{"lower sequence number: ignored", nil, site.Report{Born: 7, Sequence: 7}, []string{"m1", "old"}, 1, false, false},
+		{"same sequence number, older than the announcement of m1: m1 stays", nil, site.Report{Born: 7, Sequence: 8, Busy: true}, []string{"m1", "old"}, 1, false, true},
+		{"same sequence number, not busy: the unloaded model is removed", nil, site.Report{Born: 7, Sequence: 8, Models: []string{"m1"}, Adapters: []site.Adapter{a1}}, []string{"m1"}, 1, false, true},
+		{"same sequence number, another model listed: added", func(s *server) { s.busy = true }, site.Report{Born: 7, Sequence: 8, Models: []string{"m1", "m2"}}, []string{"m1", "m2"}, 1, false, true},
+		{"same sequence number, still busy: the unloading model stays", func(s *server) { s.busy = true }, site.Report{Born: 7, Sequence: 8, Busy: true, Models: []string{"m1"}}, []string{"m1", "old"}, 1, true, true},
+		{"higher sequence number: replaces the view", nil, site.Report{Born: 7, Sequence: 9, Models: []string{"m3"}}, []string{"m3"}, 0, false, true},
+		{"lower sequence number after a conflict: replaces the view", func(s *server) { s.resync = true }, site.Report{Born: 7, Sequence: 5, Models: []string{"m3"}}, []string{"m3"}, 0, false, true},
+		{"another incarnation: ignored", nil, site.Report{Born: 9, Sequence: 9}, []string{"m1", "old"}, 1, false, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
-			s := believed()
+			s := newTestServer()
 			if c.change != nil {
 				c.change(s)
 			}
-			g.Expect(s.take(c.report, now)).To(Equal(c.taken))
+			g.Expect(s.applyReport(c.report, now)).To(Equal(c.applied))
 			var models []string
 			for m := range s.models {
 				models = append(models, m)
--- a/internal/front/orders/step.go
+++ b/internal/front/orders/step.go
@@ -13,11 +13,12 @@
 	"foxtailcroft/internal/policy/swap"
 )
 
-// lingeringWeight ranks a model that was asked for and refused, against the number of requests that wait for others.
-const lingeringWeight = 0.5
+// refusedWantWeight is the least weight of a wanted model, used when its requests were
+// refused and none is waiting. A model's weight is otherwise its number of waiting requests.
+const refusedWantWeight = 0.5
 
-// step starts what the wants need.
-func (p *Planner) step(ctx context.Context) {
+// startWork starts the swaps and adapter loads that the current wants need.
+func (p *Planner) startWork(ctx context.Context) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
@@ -25,11 +26,11 @@
 	for _, s := range p.servers {
 		models[s.inst.Service] = nil
 	}
-	clear(p.expected)
-	for _, target := range p.eldest(now) {
+	clear(p.expectedReady)
+	for _, target := range p.pruneAndSortWants(now) {
 		w := p.wants[target]
-		if len(p.holders(w.service, target.Model)) == 0 {
-			models[w.service] = append(models[w.service], swap.Want{Model: target.Model, Weight: max(lingeringWeight, float64(len(w.waiters))), Waited: now.Sub(w.since)})
+		if len(p.serversWithModel(w.service, target.Model)) == 0 {
+			models[w.service] = append(models[w.service], swap.Want{Model: target.Model, Weight: max(refusedWantWeight, float64(len(w.waiters))), Waited: now.Sub(w.firstRequested)})
 			continue
 		}
 		if target.Name != "" {
@@ -37,53 +38,56 @@
 		}
 	}
 	for service, wants := range models {
-		p.swap(ctx, service, wants)
+		p.startSwaps(ctx, service, wants)
 	}
 }
 
-// eldest returns what is wanted, what waits longest first, without wants that have ended.
-func (p *Planner) eldest(now time.Time) []site.Adapter {
-	maps.DeleteFunc(p.wants, func(_ site.Adapter, w *wanted) bool { return len(w.waiters) == 0 && now.After(w.until) })
+// pruneAndSortWants removes expired wants and returns the targets of the others, the
+// one requested first at the front. The caller must hold p.mu.
+func (p *Planner) pruneAndSortWants(now time.Time) []site.Adapter {
+	maps.DeleteFunc(p.wants, func(_ site.Adapter, w *wantedTarget) bool { return len(w.waiters) == 0 && now.After(w.expiresAt) })
 	return slices.SortedFunc(maps.Keys(p.wants), func(a, b site.Adapter) int {
-		return cmp.Or(p.wants[a].since.Compare(p.wants[b].since), cmp.Compare(a.Model, b.Model), cmp.Compare(a.Name, b.Name))
+		return cmp.Or(p.wants[a].firstRequested.Compare(p.wants[b].firstRequested), cmp.Compare(a.Model, b.Model), cmp.Compare(a.Name, b.Name))
 	})
 }
 
-// swap carries out what the policy decides for a service.
-func (p *Planner) swap(ctx context.Context, service string, wants []swap.Want) {
+// startSwaps starts the swaps that the policy decides on for a service. The caller
+// must hold p.mu.
+func (p *Planner) startSwaps(ctx context.Context, service string, wants []swap.Want) {
 	engine := engineOf(p.state(), service)
 	if engine == nil {
 		return
 	}
 	now := time.Now()
-	in := swap.Input{Engine: engine, Wants: merged(wants), Demand: p.demand.all(now), StoreLoads: p.loadsLeft(engine, now), Loading: p.loading(), AtOnce: p.pace.AtOnce(), Keep: !p.settled(now)}
-	if !p.heard(now) {
+	in := swap.Input{Engine: engine, Wants: mergeWants(wants), Demand: p.demand.byModel(now), StoreLoads: p.storeLoadsAllowed(engine, now), Loading: p.activeStoreLoads(), AtOnce: p.storeConcurrency.AtOnce(), Keep: !p.evictionAllowed(now)}
+	if !p.demandKnown(now) {
 		in.StoreLoads = 0
 	}
 	for _, s := range p.servers {
 		if s.inst.Service == service && !s.inst.Leaving {
-			in.Servers = append(in.Servers, p.viewed(s, now))
+			in.Servers = append(in.Servers, p.policyView(s, now))
 		}
 	}
 	slices.SortFunc(in.Servers, func(a, b swap.Server) int { return strings.Compare(a.ID, b.ID) })
 	for _, a := range swap.Decide(in) {
 		if a.Later {
-			p.expected[a.Load] = now.Add(a.Takes)
+			p.expectedReady[a.Load] = now.Add(a.Takes)
 			continue
 		}
-		s := p.byID(a.Server)
-		s.engaged, s.awaited, s.evicting, s.readyAt = true, a.Load, a.Evict, now.Add(a.Takes)
+		s := p.serverByID(a.Server)
+		s.reserved, s.loadingModel, s.evicting, s.readyAt = true, a.Load, a.Evict, now.Add(a.Takes)
 		if a.Source == swap.FromStore {
-			p.loads = append(p.loads, now)
-			p.cold.Inc()
+			p.storeLoadStarts = append(p.storeLoadStarts, now)
+			p.storeLoadsTotal.Inc()
 		}
 		p.log.Infow("swap", "Instance", a.Server, "Load", a.Load, "Evict", a.Evict, "Source", int(a.Source), "Takes", a.Takes.String(), "Sequence", s.sequence, "Fence", p.fence)
-		p.group.Go(func() { p.carryOut(ctx, s, a) })
+		p.group.Go(func() { p.executeSwap(ctx, s, a) })
 	}
 }
 
-// merged sums the wants of one model, with and without adapters.
-func merged(wants []swap.Want) []swap.Want {
+// mergeWants merges the wants of each model, with and without adapters: the weights
+// are summed, and the longest wait counts.
+func mergeWants(wants []swap.Want) []swap.Want {
 	var out []swap.Want
 	for _, w := range wants {
 		i := slices.IndexFunc(out, func(x swap.Want) bool { return x.Model == w.Model })
@@ -97,11 +101,11 @@
 	return out
 }
 
-// viewed returns a server as the policy sees it.
-func (p *Planner) viewed(s *server, now time.Time) swap.Server {
+// policyView returns a server as input for the swap policy.
+func (p *Planner) policyView(s *server, now time.Time) swap.Server {
 	v := swap.Server{
-		ID: s.inst.ID, Engaged: !s.free(), FreeIn: s.freeIn(now), Awaited: s.awaited, OnDisk: s.onDisk, InMemory: s.inMemory,
-		Slow: choose.Risk(s.pauses.Value(now), p.longestPause(s.inst.Service)),
+		ID: s.inst.ID, Engaged: !s.available(), FreeIn: s.availableIn(now), Awaited: s.loadingModel, OnDisk: s.onDisk, InMemory: s.inMemory,
+		Slow: choose.Risk(s.pausePeak.Value(now), p.strictestMaxGap(s.inst.Service)),
 	}
 	for _, name := range s.modelNames() {
 		if slices.Contains(s.evicting, name) {
@@ -109,29 +113,30 @@
 		}
 		h := s.models[name]
 		v.Copies = append(v.Copies, swap.Copy{
-			Model: name, InFlight: p.inUse(s.inst.Key, site.Adapter{Model: name}), Age: now.Sub(h.since), Idle: now.Sub(h.lastUse),
+			Model: name, InFlight: p.requestsInFlight(s.inst.Key, site.Adapter{Model: name}), Age: now.Sub(h.loadedAt), Idle: now.Sub(h.lastUse),
 		})
 	}
 	return v
 }
 
-// longestPause returns the shortest of the longest pauses that the routes to a service allow, 0 if none does.
-func (p *Planner) longestPause(service string) time.Duration {
+// strictestMaxGap returns the shortest limit on pauses in a stream among the routes
+// to a service, 0 if none has a limit.
+func (p *Planner) strictestMaxGap(service string) time.Duration {
 	doc := p.state().Document
 	if doc == nil {
 		return 0
 	}
-	var least time.Duration
+	var strictest time.Duration
 	for i := range doc.Routes {
 		r := &doc.Routes[i]
-		if r.MaxGap > 0 && (least == 0 || r.MaxGap < least) && slices.ContainsFunc(r.Shares, func(x site.Share) bool { return x.Service == service }) {
-			least = r.MaxGap
+		if r.MaxGap > 0 && (strictest == 0 || r.MaxGap < strictest) && slices.ContainsFunc(r.Shares, func(x site.Share) bool { return x.Service == service }) {
+			strictest = r.MaxGap
 		}
 	}
-	return least
+	return strictest
 }
 
-func (p *Planner) byID(id string) *server {
+func (p *Planner) serverByID(id string) *server {
 	for _, s := range p.servers {
 		if s.inst.ID == id {
 			return s
@@ -140,84 +145,87 @@
 	return nil
 }
 
-// loading counts the loads from the weight store that may still run.
-func (p *Planner) loading() int {
+// activeStoreLoads returns the number of loads from the weight store that may still
+// be running.
+func (p *Planner) activeStoreLoads() int {
 	n := 0
 	for _, s := range p.servers {
-		if s.awaited != "" && !slices.Contains(s.onDisk, s.awaited) {
+		if s.loadingModel != "" && !slices.Contains(s.onDisk, s.loadingModel) {
 			n++
 		}
 	}
 	return n
 }
 
-// loadsLeft returns how many loads from the weight store may begin now: no
-// more at once than run at full speed, and no more in the window than the
-// store's rate allows without the tolerated excess.
-func (p *Planner) loadsLeft(e *site.Engine, now time.Time) int {
-	p.loads = slices.DeleteFunc(p.loads, func(t time.Time) bool { return now.Sub(t) > p.set.LoadWindow })
-	inWindow := int(e.LoadsPerSecond*p.set.LoadWindow.Seconds()) - len(p.loads)
-	return max(0, min(inWindow, p.pace.AtOnce()-p.loading()))
+// storeLoadsAllowed returns how many loads from the weight store may start now. It
+// bounds the concurrent loads by the number that run at full speed, and the loads in
+// the window by the store's rate, without the excess that the store tolerates.
+func (p *Planner) storeLoadsAllowed(e *site.Engine, now time.Time) int {
+	p.storeLoadStarts = slices.DeleteFunc(p.storeLoadStarts, func(t time.Time) bool { return now.Sub(t) > p.settings.LoadWindow })
+	rateAllowance := int(e.LoadsPerSecond*p.settings.LoadWindow.Seconds()) - len(p.storeLoadStarts)
+	return max(0, min(rateAllowance, p.storeConcurrency.AtOnce()-p.activeStoreLoads()))
 }
 
-// adapterTime is how long an adapter load is expected to take before requests are sent.
-const adapterTime = 12 * time.Millisecond
+// adapterLoadTime is the expected duration of an adapter load; requests are sent only
+// after it.
+const adapterLoadTime = 12 * time.Millisecond
 
-// place is a server for an adapter, and the adapter evicted for it.
-type place struct {
+// adapterPlace is a server for an adapter, and the adapter to evict there.
+type adapterPlace struct {
 	server *server
-	// victim is empty if there is a free place.
+	// victim is empty if the server has a free place.
 	victim site.Adapter
-	// unused is since when the victim was not used.
-	unused time.Time
+	// victimLastUse is when the victim was last used.
+	victimLastUse time.Time
 }
 
-// better reports whether an adapter had rather be loaded here: a free place at
-// the server with the fewest adapters first, else the victim unused for longest.
-func (x place) better(than place) bool {
+// betterThan reports whether x is preferred: free places come first, at the server
+// with the fewest adapters, then the least recently used victim.
+func (x adapterPlace) betterThan(other adapterPlace) bool {
 	switch {
-	case than.server == nil:
+	case other.server == nil:
 		return true
-	case (x.victim.Name == "") != (than.victim.Name == ""):
+	case (x.victim.Name == "") != (other.victim.Name == ""):
 		return x.victim.Name == ""
 	case x.victim.Name == "":
-		return len(x.server.adapters) < len(than.server.adapters)
+		return len(x.server.adapters) < len(other.server.adapters)
 	}
-	return x.unused.Before(than.unused)
+	return x.victimLastUse.Before(other.victimLastUse)
 }
 
-// placeAdapter loads an adapter at a holder of its model.
+// placeAdapter starts loading an adapter at a server that has its model, unless the
+// adapter is present or being loaded. The caller must hold p.mu.
 func (p *Planner) placeAdapter(ctx context.Context, service string, t site.Adapter) {
 	engine := engineOf(p.state(), service)
-	holders := p.holders(service, t.Model)
+	holders := p.serversWithModel(service, t.Model)
 	present := slices.ContainsFunc(holders, func(s *server) bool { return s.adapters[t] != nil })
-	if p.placing[t] || present || engine == nil || engine.Model(t.Model) == nil {
+	if p.adaptersLoading[t] || present || engine == nil || engine.Model(t.Model) == nil {
 		return
 	}
-	var best place
+	var best adapterPlace
 	for _, s := range holders {
-		if x, ok := p.placeAt(s, engine, engine.Model(t.Model)); ok && x.better(best) {
-			best = x
+		if candidate, ok := p.findPlace(s, engine, engine.Model(t.Model)); ok && candidate.betterThan(best) {
+			best = candidate
 		}
 	}
 	if best.server == nil {
 		return
 	}
 	if best.victim.Name != "" {
-		best.server.adapters[best.victim].leaving = true
+		best.server.adapters[best.victim].unloading = true
 	}
-	p.placing[t] = true
+	p.adaptersLoading[t] = true
 	p.group.Go(func() { p.loadAdapter(ctx, best.server, t, best.victim) })
 }
 
-// placeAt returns the place for one more adapter at a server, if there is one.
-func (p *Planner) placeAt(s *server, e *site.Engine, m *site.Model) (place, bool) {
-	if !s.free() {
-		return place{}, false
+// findPlace returns a place for one more adapter at a server, and false if there is none.
+func (p *Planner) findPlace(s *server, e *site.Engine, m *site.Model) (adapterPlace, bool) {
+	if !s.available() {
+		return adapterPlace{}, false
 	}
 	if len(s.adapters) < e.AdapterPlaces && s.usedMB(e)+m.AdapterMB <= e.WeightsMB {
-		return place{server: s}, true
+		return adapterPlace{server: s}, true
 	}
-	victim, at, ok := s.oldest(time.Now(), p.inUse)
-	return place{s, victim, at}, ok
+	victim, lastUse, ok := s.leastRecentlyUsedAdapter(time.Now(), p.requestsInFlight)
+	return adapterPlace{s, victim, lastUse}, ok
 }
--- /dev/null
+++ b/internal/front/orders/usage.go
@@ -0,0 +1,152 @@
+package orders
+
+import (
+	"cmp"
+	"math"
+	"slices"
+	"time"
+
+	"foxtailcroft/internal/core/site"
+	"foxtailcroft/internal/front/peers"
+	"foxtailcroft/internal/policy/pace"
+)
+
+// maxLoggedModels bounds the models that the demand log line lists.
+const maxLoggedModels = 6
+
+// logDemand logs the models with the highest request rates and their numbers of replicas.
+func (p *Planner) logDemand() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	type modelDemand struct {
+		Model    string
+		Rate     float64
+		EachMs   int64
+		Adapters int
+		Copies   int
+	}
+	var list []modelDemand
+	copies := map[string]int{}
+	for _, s := range p.servers {
+		for _, m := range s.modelNames() {
+			copies[m]++
+		}
+	}
+	for m, d := range p.demand.byModel(time.Now()) {
+		list = append(list, modelDemand{m, math.Round(d.Rate*10) / 10, d.Each.Milliseconds(), d.Adapters, copies[m]})
+	}
+	slices.SortFunc(list, func(a, b modelDemand) int { return cmp.Or(cmp.Compare(b.Rate, a.Rate), cmp.Compare(a.Model, b.Model)) })
+	p.log.Infow("demand", "Models", len(list), "Busiest", list[:min(maxLoggedModels, len(list))], "Wants", len(p.wants), "Servers", len(p.servers))
+}
+
+// ApplyUsage applies a front's usage report. It returns the load of the busiest
+// servers, and the state that a successor inherits.
+func (p *Planner) ApplyUsage(u peers.Uses) peers.PlannerStatus {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	now := time.Now()
+	report := frontUsage{receivedAt: now, inFlight: map[site.Key]map[site.Adapter]int{}}
+	for _, x := range u.Uses {
+		if report.inFlight[x.Instance] == nil {
+			report.inFlight[x.Instance] = map[site.Adapter]int{}
+		}
+		report.inFlight[x.Instance][x.Target] += x.InFlight
+		p.demand.addSent(x.Target, x.Requests, x.Work, now)
+		if s := p.servers[x.Instance]; s != nil && x.Requests+x.InFlight > 0 {
+			s.markUsed(x.Target, now)
+		}
+	}
+	p.usageByFront[u.Front] = report
+	for _, x := range u.Pauses {
+		if s := p.servers[x.Instance]; s != nil {
+			s.pausePeak = s.pausePeak.With(x.Longest, now)
+		}
+	}
+	for _, a := range u.Asked {
+		p.demand.add(a.Target, a.Requests, now)
+	}
+	return peers.PlannerStatus{StoreLoads: p.storeConcurrency.AtOnce(), Loads: p.busiestServers(now), Pending: p.pendingLoads(now)}
+}
+
+// busiestServers returns the load of the maxListedServers servers with the most
+// requests, cached for loadsCacheTTL. The caller must hold p.mu.
+func (p *Planner) busiestServers(now time.Time) []peers.Load {
+	if p.cachedLoads != nil && now.Sub(p.cachedLoadsAt) < loadsCacheTTL {
+		return p.cachedLoads
+	}
+	var loads []peers.Load
+	for _, s := range p.servers {
+		if s.known && !s.lost {
+			loads = append(loads, peers.Load{Instance: s.inst.Key, Requests: s.requests, Age: now.Sub(s.reportedAt), Pause: s.pausePeak.Value(now)})
+		}
+	}
+	slices.SortFunc(loads, func(a, b peers.Load) int {
+		return cmp.Or(cmp.Compare(b.Requests, a.Requests), cmp.Compare(a.Instance.ID, b.Instance.ID))
+	})
+	p.cachedLoads, p.cachedLoadsAt = loads[:min(maxListedServers, len(loads))], now
+	return p.cachedLoads
+}
+
+// pendingLoads returns the model loads in progress. The caller must hold p.mu.
+func (p *Planner) pendingLoads(now time.Time) []peers.PendingLoad {
+	var out []peers.PendingLoad
+	for k, s := range p.servers {
+		if s.loadingModel != "" {
+			out = append(out, peers.PendingLoad{Instance: k, Model: s.loadingModel, In: s.readyAt.Sub(now)})
+		}
+	}
+	return out
+}
+
+// loadsCacheTTL is how long one computed list of server loads is returned to all fronts.
+const loadsCacheTTL = 200 * time.Millisecond
+
+// Learn stores the state that another planner has published, in case this front
+// succeeds it.
+func (p *Planner) Learn(b peers.PlannerStatus) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.storeConcurrency.AtOnce() != b.StoreLoads && b.StoreLoads > 0 {
+		p.storeConcurrency = pace.Known(b.StoreLoads)
+	}
+	now := time.Now()
+	p.inheritedLoads = map[site.Key]inheritedLoad{}
+	for _, x := range b.Pending {
+		p.inheritedLoads[x.Instance] = inheritedLoad{model: x.Model, readyAt: now.Add(x.In)}
+	}
+}
+
+// inheritedLoad is a model load that a previous planner ordered.
+type inheritedLoad struct {
+	model   string
+	readyAt time.Time
+}
+
+// adoptInheritedLoad records the load that a busy server is still running for the
+// previous planner, so that it isn't ordered again. The caller must hold p.mu.
+func (p *Planner) adoptInheritedLoad(s *server) {
+	x, ok := p.inheritedLoads[s.inst.Key]
+	if !ok || !s.busy || s.loadingModel != "" || s.models[x.model] != nil {
+		return
+	}
+	s.loadingModel, s.readyAt = x.model, x.readyAt
+	p.log.Infow("adopted a load in progress from the previous planner", "Instance", s.inst.ID, "Model", x.model, "Fence", p.fence)
+}
+
+// requestsInFlight returns the number of requests in flight at a server for a
+// target, from the usage reports that are still valid. A target without an adapter
+// name counts the requests of the model and all its adapters.
+func (p *Planner) requestsInFlight(k site.Key, t site.Adapter) int {
+	n := 0
+	for _, u := range p.usageByFront {
+		if time.Since(u.receivedAt) > usageTTL {
+			continue
+		}
+		for x, count := range u.inFlight[k] {
+			if x == t || t.Name == "" && x.Model == t.Model {
+				n += count
+			}
+		}
+	}
+	return n
+}
--- a/internal/front/orders/wants.go
+++ b/internal/front/orders/wants.go
@@ -9,40 +9,43 @@
 	"foxtailcroft/internal/front/peers"
 )
 
-// wanted is a target that requests wait for, or asked for lately.
-type wanted struct {
+// wantedTarget is a model or adapter that requests wait for or recently asked for.
+type wantedTarget struct {
 	service string
-	// waiters are the requests that wait.
+	// waiters are the waiting requests.
 	waiters map[*waiter]bool
-	// since is when the first of them asked.
-	since time.Time
-	// until keeps a want alive after a refusal, so that the load is done when the caller returns.
-	until time.Time
+	// firstRequested is when the first request asked for the target.
+	firstRequested time.Time
+	// expiresAt keeps the want alive after a refusal, so that the model is loaded
+	// when the caller retries.
+	expiresAt time.Time
 }
 
-// waiter is a request that waits; its channel is closed without an answer if this front does not plan any more.
+// waiter is a waiting request. Its channel is closed without an answer when this
+// front stops being the planner.
 type waiter struct {
 	want   peers.Want
 	answer chan peers.Found
 }
 
-// lingering is how long a refused want keeps its model on order.
-const lingering = 3 * time.Second
+// refusedWantTTL is how long a want lives on after the wait time of its last request.
+const refusedWantTTL = 3 * time.Second
 
-// Want waits until an instance can serve the target, or says when one will.
+// Want waits until an instance can serve the target, and otherwise returns the reason
+// and, if known, when one will. It returns a NoPlanner error if this front isn't the planner.
 func (p *Planner) Want(ctx context.Context, w peers.Want) (peers.Found, error) {
-	if !p.leads() {
+	if !p.checkLeadership() {
 		return peers.Found{}, &peers.NoPlanner{}
 	}
 	deadline := time.NewTimer(min(w.Wait, w.Answer))
 	defer deadline.Stop()
-	x, found, wait := p.register(w)
+	request, found, wait := p.register(w)
 	if !wait {
 		return found, nil
 	}
-	defer p.forget(x)
+	defer p.removeWaiter(request)
 	select {
-	case found, ok := <-x.answer:
+	case found, ok := <-request.answer:
 		if !ok {
 			return peers.Found{}, &peers.NoPlanner{}
 		}
@@ -56,96 +59,103 @@
 	}
 }
 
-// register answers a want at once or notes that it waits.
-func (p *Planner) register(w peers.Want) (x *waiter, found peers.Found, wait bool) {
+// register answers a request at once if possible, and otherwise adds it to the
+// waiters of its target.
+func (p *Planner) register(w peers.Want) (request *waiter, found peers.Found, wait bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	target := p.wants[w.Target]
-	if target == nil {
-		target = &wanted{service: w.Service, since: now, waiters: map[*waiter]bool{}}
-		p.wants[w.Target] = target
+	wanted := p.wants[w.Target]
+	if wanted == nil {
+		wanted = &wantedTarget{service: w.Service, firstRequested: now, waiters: map[*waiter]bool{}}
+		p.wants[w.Target] = wanted
 	}
-	target.until = now.Add(w.Wait + lingering)
-	p.verify(w.Avoid)
+	wanted.expiresAt = now.Add(w.Wait + refusedWantTTL)
+	p.recheckReports(w.Avoid)
 	p.wake()
-	found, wait = p.find(w)
+	found, wait = p.findInstances(w)
 	if !wait {
-		p.met(w.Target, found)
+		p.deleteServedWant(w.Target, found)
 		return nil, found, false
 	}
-	x = &waiter{want: w, answer: make(chan peers.Found, 1)}
-	target.waiters[x] = true
-	return x, found, true
+	request = &waiter{want: w, answer: make(chan peers.Found, 1)}
+	wanted.waiters[request] = true
+	return request, found, true
 }
 
-// forget takes a waiter off.
-func (p *Planner) forget(x *waiter) {
+// removeWaiter removes a request from the waiters of its target.
+func (p *Planner) removeWaiter(request *waiter) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if target := p.wants[x.want.Target]; target != nil {
-		delete(target.waiters, x)
+	if wanted := p.wants[request.want.Target]; wanted != nil {
+		delete(wanted.waiters, request)
 	}
 }
 
-// met ends a want that an instance serves, unless others still wait who cannot use it; the caller holds the lock.
-func (p *Planner) met(t site.Adapter, found peers.Found) {
-	if target := p.wants[t]; target != nil && len(found.Instances) > 0 && len(target.waiters) == 0 {
+// deleteServedWant deletes the want for a target that an instance serves, unless
+// requests still wait that can't use that instance. The caller must hold p.mu.
+func (p *Planner) deleteServedWant(t site.Adapter, found peers.Found) {
+	if wanted := p.wants[t]; wanted != nil && len(found.Instances) > 0 && len(wanted.waiters) == 0 {
 		delete(p.wants, t)
 	}
 }
 
-// answer answers the waiters whose wait is over; it costs each of them one look
-// however often beliefs have changed since the last one.
-func (p *Planner) answer() {
+// answerWaiters answers the waiters that can be served or must be refused. It runs
+// once a planning step, however many changes there were, so that the cost doesn't
+// grow with the number of changes times the number of waiters.
+func (p *Planner) answerWaiters() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for t, target := range p.wants {
-		for x := range target.waiters {
-			found, wait := p.find(x.want)
+	for t, wanted := range p.wants {
+		for request := range wanted.waiters {
+			found, wait := p.findInstances(request.want)
 			if wait {
 				continue
 			}
-			delete(target.waiters, x)
-			x.answer <- found
-			p.met(t, found)
+			delete(wanted.waiters, request)
+			request.answer <- found
+			p.deleteServedWant(t, found)
 		}
 	}
 }
 
-// dismiss tells all waiters that this front does not plan.
-func (p *Planner) dismiss() {
+// rejectWaiters fails all waiters because this front isn't the planner.
+func (p *Planner) rejectWaiters() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, target := range p.wants {
-		for x := range target.waiters {
-			close(x.answer)
+	for _, wanted := range p.wants {
+		for request := range wanted.waiters {
+			close(request.answer)
 		}
 	}
 	clear(p.wants)
 }
 
-// verifyEvery bounds how often a server that a front could not use is asked for its report.
-const verifyEvery = 200 * time.Millisecond
+// minRecheckInterval is the least time between two report reads of a server that
+// fronts can't use.
+const minRecheckInterval = 200 * time.Millisecond
 
-// verify reads the reports of servers that a front could not use; the caller holds the lock.
-func (p *Planner) verify(keys []site.Key) {
+// recheckReports starts reading the reports of servers that a front couldn't use. The
+// caller must hold p.mu.
+func (p *Planner) recheckReports(keys []site.Key) {
 	for _, k := range keys {
 		s := p.servers[k]
-		if s == nil || time.Since(s.asked) < verifyEvery {
+		if s == nil || time.Since(s.reportRequestedAt) < minRecheckInterval {
 			continue
 		}
-		s.asked = time.Now()
+		s.reportRequestedAt = time.Now()
 		p.group.Go(func() { p.readReport(context.Background(), s) })
 	}
 }
 
-// find returns who serves the target; wait is true if the request can wait for one. The caller holds the lock.
-func (p *Planner) find(w peers.Want) (found peers.Found, wait bool) {
+// findInstances returns the instances that serve the target. If there are none, it
+// returns whether the request should wait for one, or why not. The caller must hold
+// p.mu.
+func (p *Planner) findInstances(w peers.Want) (found peers.Found, wait bool) {
 	for _, s := range p.servers {
 		if s.inst.Service == w.Service && s.serves(w.Target) && !slices.Contains(w.Avoid, s.inst.Key) {
 			found.Instances = append(found.Instances, s.inst.Key)
-			s.touch(w.Target, time.Now())
+			s.markUsed(w.Target, time.Now())
 		}
 	}
 	if len(found.Instances) > 0 {
@@ -156,7 +166,7 @@
 		found.Reason = "the service has no such model"
 		return found, false
 	}
-	if ready, ok := p.forecast(w.Target.Model); ok {
+	if ready, ok := p.forecastReady(w.Target.Model); ok {
 		found.ReadyIn = time.Until(ready)
 		if found.ReadyIn > w.Wait {
 			found.Reason = "the load ends too late"
@@ -164,7 +174,7 @@
 		}
 		return found, true
 	}
-	if model := engine.Model(w.Target.Model); p.unplanned(w.Target) && model.FromStore > w.Wait {
+	if model := engine.Model(w.Target.Model); p.noServerPlanned(w.Target) && model.FromStore > w.Wait {
 		found.ReadyIn = model.FromStore
 		found.Reason = "no server can load the model in time"
 		return found, false
@@ -172,28 +182,32 @@
 	return found, true
 }
 
-// planTime is how long after a want was first heard a server should be preparing for it.
-const planTime = 400 * time.Millisecond
+// planningTimeout is how long after the first request for a target a server should be
+// preparing for it.
+const planningTimeout = 400 * time.Millisecond
 
-// unplanned reports whether a want has been known for a while and no server has the model or prepares for it.
-func (p *Planner) unplanned(t site.Adapter) bool {
-	x := p.wants[t]
-	return x != nil && time.Since(x.since) > planTime && p.settled(time.Now().Add(-planTime)) && len(p.holders(x.service, t.Model)) == 0
+// noServerPlanned reports whether a target has been wanted for longer than
+// planningTimeout although no server has its model. The caller has checked that none
+// is loading it.
+func (p *Planner) noServerPlanned(t site.Adapter) bool {
+	wanted := p.wants[t]
+	return wanted != nil && time.Since(wanted.firstRequested) > planningTimeout && p.evictionAllowed(time.Now().Add(-planningTimeout)) && len(p.serversWithModel(wanted.service, t.Model)) == 0
 }
 
-// forecast returns when a server that is being prepared for the model, or will be, is ready.
-func (p *Planner) forecast(model string) (time.Time, bool) {
+// forecastReady returns when a server that loads the model, or will load it once it is
+// available, is expected to be ready; false if there is none.
+func (p *Planner) forecastReady(model string) (time.Time, bool) {
 	for _, s := range p.servers {
-		if s.awaited == model {
+		if s.loadingModel == model {
 			return s.readyAt, true
 		}
 	}
-	at, ok := p.expected[model]
-	return at, ok
+	readyAt, ok := p.expectedReady[model]
+	return readyAt, ok
 }
 
-// holders returns the servers that have the model of a target.
-func (p *Planner) holders(service, model string) []*server {
+// serversWithModel returns the servers of a service that serve a model.
+func (p *Planner) serversWithModel(service, model string) []*server {
 	var out []*server
 	for _, s := range p.servers {
 		if s.inst.Service == service && s.serves(site.Adapter{Model: model}) {
--- a/internal/front/peers/peers.go
+++ b/internal/front/peers/peers.go
@@ -12,46 +12,47 @@
 	"foxtailcroft/internal/plat/store"
 )
 
-// The methods between fronts.
+// Names of the RPC methods between fronts.
 const (
 	methodNewer = "Newer"
 	methodWant  = "Want"
 	methodUse   = "Use"
 )
 
-// askTimeout bounds a question for a newer view.
-const askTimeout = 800 * time.Millisecond
+// callTimeout bounds a call to another front. A Want call may take its Answer time
+// on top.
+const callTimeout = 800 * time.Millisecond
 
-// Want asks the planner for an instance that can serve a model or adapter.
+// Want asks the planner for instances that can serve a model or adapter.
 type Want struct {
 	Service string
 	Target  site.Adapter
-	// Wait is how long the request can wait and still be served in time.
+	// Wait is how long the request can wait for an instance and still be served in time.
 	Wait time.Duration
-	// Answer is how long the planner may hold the question; the asker asks
-	// again, so that a planner that was replaced holds nobody for longer.
+	// Answer is how long the planner may take to reply. The front then asks again,
+	// so that a planner that was replaced can't hold a request for longer.
 	Answer time.Duration
-	// Avoid are instances that the asker could not use a moment ago.
+	// Avoid are instances that the front recently failed to use.
 	Avoid []site.Key
 }
 
-// Found answers a Want: instances that can serve now, or when to come back.
+// Found is the reply to a Want: instances that can serve now, or why there are none.
 type Found struct {
 	Instances []site.Key
-	// Waiting is true if the question ended before the wait did.
+	// Waiting is true if Answer ended before Wait, so that the front should ask again.
 	Waiting bool
-	// ReadyIn is the forecast for a target that is being loaded or waits for it; 0 if not known.
+	// ReadyIn is the expected time until the target is loaded; 0 if unknown.
 	ReadyIn time.Duration
 	Reason  string
 }
 
-// Use is how much a model or adapter at an instance was used since the last message.
+// Use is one front's use of a model or adapter at an instance since its last report.
 type Use struct {
 	Instance site.Key
 	Target   site.Adapter
 	Requests int
 	InFlight int
-	// Work is the time that the server takes to read the prompts of these requests.
+	// Work is the time that the server spends on the prompts of these requests.
 	Work time.Duration
 }
 
@@ -60,9 +61,9 @@
 	Front string
 	Uses  []Use
 	// Asked counts the requests by target, served or not: those since the last
-	// message or, for a planner that is new, those that still count.
+	// report or, in the first report to a new planner, the decayed count of all.
 	Asked []Ask
-	// Pauses are the longest pauses of streams since the last message.
+	// Pauses are the longest pauses in streams since the last report.
 	Pauses []Pause
 }
 
@@ -72,46 +73,48 @@
 	Longest  time.Duration
 }
 
-// Ask is how often a model or adapter was asked for.
+// Ask is the number of requests for a model or adapter, fractional if decayed.
 type Ask struct {
 	Target   site.Adapter
 	Requests float64
 }
 
-// Load is what a server last reported of its requests.
+// Load is the load of an instance in its last report.
 type Load struct {
 	Instance site.Key
 	Requests int
-	// Age is how old the report is.
+	// Age is the age of the report.
 	Age time.Duration
-	// Pause is the longest pause of a stream there, faded.
+	// Pause is the longest pause in a stream at the instance, decaying over time.
 	Pause time.Duration
 }
 
-// Board is the planner's reply to a usage report: the servers' load, and what a
-// successor would otherwise have to learn again.
-type Board struct {
+// PlannerStatus is the planner's reply to a usage report: the load of the busiest
+// servers, and what a successor would otherwise have to learn again.
+type PlannerStatus struct {
 	Loads []Load
-	// StoreLoads is how many loads from the weight store run at full speed side by side.
+	// StoreLoads is how many loads from the weight store run at full speed concurrently.
 	StoreLoads int
-	// Pending are the loads of models under way.
-	Pending []Pending
+	// Pending are the model loads in progress.
+	Pending []PendingLoad
 }
 
-// Pending is a model that an instance is loading, and the forecast for its end.
-type Pending struct {
+// PendingLoad is a model that an instance is loading; In is the expected time until it
+// is ready.
+type PendingLoad struct {
 	Instance site.Key
 	Model    string
 	In       time.Duration
 }
 
-// Planner gives orders to instances; every front has one, which acts only while it holds the lease.
+// Planner is the front's own planner, which is active only while the front holds the
+// planner's key.
 type Planner interface {
 	Want(ctx context.Context, w Want) (Found, error)
-	Use(u Uses) Board
+	ApplyUsage(u Uses) PlannerStatus
 }
 
-// Peers speaks to the other fronts.
+// Peers calls the other fronts.
 type Peers struct {
 	self  follow.Front
 	pool  *peer.Pool
@@ -120,7 +123,7 @@
 	local Planner
 }
 
-// New returns the front's side towards others and registers its handlers.
+// New returns a client for the other fronts, and registers the handlers of their calls.
 func New(self follow.Front, pool *peer.Pool, mux *peer.Mux, f *follow.Follower, seeds []string, local Planner) *Peers {
 	m := &Peers{self: self, pool: pool, state: f.State, seeds: seeds, local: local}
 	peer.OnCall(mux, methodNewer, func(_ context.Context, _ *peer.Conn, after int64) (store.List, error) {
@@ -130,13 +133,14 @@
 	peer.OnCall(mux, methodWant, func(ctx context.Context, _ *peer.Conn, w Want) (Found, error) {
 		return local.Want(ctx, w)
 	})
-	peer.OnCall(mux, methodUse, func(_ context.Context, _ *peer.Conn, u Uses) (Board, error) {
-		return local.Use(u), nil
+	peer.OnCall(mux, methodUse, func(_ context.Context, _ *peer.Conn, u Uses) (PlannerStatus, error) {
+		return local.ApplyUsage(u), nil
 	})
 	return m
 }
 
-// Newer asks other fronts, in random order, for a view newer than a revision; two are asked at the most.
+// Newer asks up to two other fronts, chosen at random, for cluster state newer than a
+// revision; false if neither has it.
 func (m *Peers) Newer(ctx context.Context, revision int64) (store.List, bool) {
 	addresses := slices.Clone(m.seeds)
 	for _, f := range m.state().Fronts {
@@ -147,14 +151,15 @@
 	rand.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
 	for _, address := range addresses[:min(2, len(addresses))] {
 		var list store.List
-		if m.call(ctx, address, methodNewer, askTimeout, revision, &list) == nil && list.Revision > revision {
+		if m.call(ctx, address, methodNewer, callTimeout, revision, &list) == nil && list.Revision > revision {
 			return list, true
 		}
 	}
 	return store.List{}, false
 }
 
-// Want asks the current planner.
+// Want asks the current planner for instances. It returns a NoPlanner error if there
+// is no planner.
 func (m *Peers) Want(ctx context.Context, w Want) (Found, error) {
 	planner := m.state().Planner
 	if planner == nil {
@@ -164,21 +169,22 @@
 		return m.local.Want(ctx, w)
 	}
 	var found Found
-	err := m.call(ctx, planner.Address, methodWant, w.Answer+askTimeout, w, &found)
+	err := m.call(ctx, planner.Address, methodWant, w.Answer+callTimeout, w, &found)
 	return found, err
 }
 
-// Use reports usage to the current planner.
-func (m *Peers) Use(ctx context.Context, u Uses) (Board, error) {
+// Use reports usage to the current planner. It returns a NoPlanner error if there is
+// no planner.
+func (m *Peers) Use(ctx context.Context, u Uses) (PlannerStatus, error) {
 	planner := m.state().Planner
 	if planner == nil {
-		return Board{}, &NoPlanner{}
+		return PlannerStatus{}, &NoPlanner{}
 	}
 	if planner.Run == m.self.Run {
-		return m.local.Use(u), nil
+		return m.local.ApplyUsage(u), nil
 	}
-	var board Board
-	err := m.call(ctx, planner.Address, methodUse, askTimeout, u, &board)
+	var board PlannerStatus
+	err := m.call(ctx, planner.Address, methodUse, callTimeout, u, &board)
 	return board, err
 }
 
@@ -193,10 +199,10 @@
 	return conn.Call(ctx, method, params, reply)
 }
 
-// NoPlanner reports that no front gives orders at the moment.
+// NoPlanner is the error for calls while no front holds the planner's key.
 type NoPlanner struct{}
 
-// Error says so.
+// Error implements the error interface.
 func (*NoPlanner) Error() string {
 	return "no front holds the planner's lease"
 }
