--- a/internal/front/orders/churn_test.go
+++ b/internal/front/orders/churn_test.go
@@ -149,9 +149,9 @@
 				successor = p
 			}
 		}
-		board := first.planner.ApplyUsage(peers.Uses{Front: "front-next"})
-		c.g.Expect(board.Pending).To(HaveLen(1))
-		successor.planner.Learn(board)
+		status := first.planner.ApplyUsage(peers.Uses{Front: "front-next"})
+		c.g.Expect(status.Pending).To(HaveLen(1))
+		successor.planner.Learn(status)
 		first.cancel()
 		before := len(c.orderBook.Orders())
 		time.Sleep(4 * time.Second)
@@ -165,18 +165,18 @@
 
 func TestClaimDelayByCPUShare(t *testing.T) {
 	cases := []struct {
-		name      string
-		processor float64
-		want      time.Duration
+		name     string
+		cpuShare float64
+		want     time.Duration
 	}{
 		{"unknown share: no delay", 0, 0},
-		{"more than sufficient: no delay", 0.8, 0},
+		{"strong", 0.8, 0},
 		{"just sufficient: no delay", 0.3, 0},
 		{"half of the sufficient share: half the maximum", 0.15, 400 * time.Millisecond},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			NewWithT(t).Expect(claimDelayFor(c.processor)).To(BeNumerically("~", c.want, time.Millisecond))
+			NewWithT(t).Expect(claimDelayFor(c.cpuShare)).To(BeNumerically("~", c.want, time.Millisecond))
 		})
 	}
 }
--- a/internal/front/orders/lead.go
+++ b/internal/front/orders/lead.go
@@ -221,11 +221,11 @@
 	}
 }
 
-// Fence returns the fencing token if this front may give orders now, and false
+// FencingToken returns the fencing token if this front may give orders now, and false
 // otherwise. After a suspension of the machine the lease must be renewed first.
 // If servers don't check fencing tokens (checked is false), the lease must also
 // have been renewed within three quarters of its TTL.
-func (l *Lead) Fence(checked bool) (int64, bool) {
+func (l *Lead) FencingToken(checked bool) (int64, bool) {
 	p := l.state().Planner
 	if p == nil || p.Run != l.Self.Run {
 		return 0, false
--- a/internal/front/orders/planner.go
+++ b/internal/front/orders/planner.go
@@ -155,7 +155,7 @@
 // token it resets the planner's view of the servers, as other planners may have given
 // orders in between.
 func (p *Planner) checkLeadership() bool {
-	fence, ok := p.lead.Fence(p.settings.ChecksFence)
+	fence, ok := p.lead.FencingToken(p.settings.ChecksFence)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !ok || fence == p.deposedFence {
--- a/internal/front/orders/planner_test.go
+++ b/internal/front/orders/planner_test.go
@@ -371,9 +371,9 @@
 }
 
 // TestOrdersStayInBoundsUnderFaults injects delayed orders (some beyond their timeout),
-// servers that restart under the same ID, partitioned planners and bursts of requests. It checks that servers
-// accept no order that breaks their limits, such as one that exceeds their memory, and
-// that every fencing token belongs to one planner.
+// servers that restart under the same ID, partitioned planners and bursts of requests.
+// It checks that no server is ordered to hold more than fits in its memory and adapter
+// places, and that every fencing token belongs to one planner.
 func TestOrdersStayInBoundsUnderFaults(t *testing.T) {
 	t.Logf("FOXTAILCROFT_SEED=%d", draws.Seed())
 	rapid.Check(t, func(rt *rapid.T) {
--- a/internal/front/orders/usage.go
+++ b/internal/front/orders/usage.go
@@ -103,15 +103,15 @@
 
 // Learn stores the state that another planner has published, in case this front
 // succeeds it.
-func (p *Planner) Learn(b peers.PlannerStatus) {
+func (p *Planner) Learn(status peers.PlannerStatus) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.storeConcurrency.AtOnce() != b.StoreLoads && b.StoreLoads > 0 {
-		p.storeConcurrency = pace.Known(b.StoreLoads)
+	if p.storeConcurrency.AtOnce() != status.StoreLoads && status.StoreLoads > 0 {
+		p.storeConcurrency = pace.Known(status.StoreLoads)
 	}
 	now := time.Now()
 	p.inheritedLoads = map[site.Key]inheritedLoad{}
-	for _, x := range b.Pending {
+	for _, x := range status.Pending {
 		p.inheritedLoads[x.Instance] = inheritedLoad{model: x.Model, readyAt: now.Add(x.In)}
 	}
 }
--- a/internal/front/peers/peers.go
+++ b/internal/front/peers/peers.go
@@ -183,9 +183,9 @@
 	if planner.Run == m.self.Run {
 		return m.local.ApplyUsage(u), nil
 	}
-	var board PlannerStatus
-	err := m.call(ctx, planner.Address, methodUse, callTimeout, u, &board)
-	return board, err
+	var status PlannerStatus
+	err := m.call(ctx, planner.Address, methodUse, callTimeout, u, &status)
+	return status, err
 }
 
 func (m *Peers) call(ctx context.Context, address, method string, timeout time.Duration, params, reply any) error {
