--- a/internal/front/orders/server.go
+++ b/internal/front/orders/server.go
@@ -209,16 +209,16 @@
 // if all are in use, about to be used or already being unloaded.
 func (s *server) leastRecentlyUsedAdapter(now time.Time, requestsInFlight func(site.Key, site.Adapter) int) (site.Adapter, time.Time, bool) {
 	var best site.Adapter
-	var lastUse time.Time
+	var oldestUse time.Time
 	for a, h := range s.adapters {
 		if h.unloading || now.Sub(h.lastUse) < minAdapterStay || requestsInFlight(s.inst.Key, a) > 0 {
 			continue
 		}
-		if lastUse.IsZero() || h.lastUse.Before(lastUse) {
-			best, lastUse = a, h.lastUse
+		if oldestUse.IsZero() || h.lastUse.Before(oldestUse) {
+			best, oldestUse = a, h.lastUse
 		}
 	}
-	return best, lastUse, !lastUse.IsZero()
+	return best, oldestUse, !oldestUse.IsZero()
 }
 
 // usedMB returns the total size of the loaded models and adapters.
--- a/internal/front/orders/wants.go
+++ b/internal/front/orders/wants.go
@@ -202,8 +202,8 @@
 			return s.readyAt, true
 		}
 	}
-	readyAt, ok := p.expectedReady[model]
-	return readyAt, ok
+	ready, ok := p.expectedReady[model]
+	return ready, ok
 }
 
 // serversWithModel returns the servers of a service that serve a model.
