--- a/internal/agent/slots/acquire.go
+++ b/internal/agent/slots/acquire.go
@@ -14,30 +14,30 @@
 	"foxtailcroft/internal/policy/pick"
 )
 
-// Want is a request for a place on a replica.
-type Want struct {
+// Request describes an inference request that asks to run on a replica.
+type Request struct {
 	Model    string
 	Adapter  string
 	Class    kinds.Class
 	Deadline time.Time
-	// Final forbids a redirect to another slot.
+	// Final forbids a redirect to another endpoint.
 	Final bool
 }
 
-// Grant is a place on a loaded replica, held until Release is called.
+// Grant is the right to run one request on a loaded replica until Release is called.
 type Grant struct {
 	Item engine.Item
-	// Cold is true if the request waited for a load.
+	// Cold is true if the model or the adapter was not loaded when the request arrived.
 	Cold    bool
 	Release func()
 }
 
-// Acquire waits for a place on the model's replica here, waking it if it is
-// dormant. Its errors are refusals of requests that did not run.
-func (m *Manager) Acquire(ctx context.Context, w Want) (Grant, error) {
+// Acquire waits until the request may run on the model's replica here, loading
+// the replica if necessary. An error is the refusal of a request that did not run.
+func (m *Manager) Acquire(ctx context.Context, req Request) (Grant, error) {
 	ready := make(chan error, 1)
-	t := &queue.Ticket{Class: w.Class, Deadline: w.Deadline, Adapter: w.Adapter, Ready: func(refusal error) { ready <- refusal }}
-	r, cold, err := m.enqueue(w, t)
+	t := &queue.Ticket{Class: req.Class, Deadline: req.Deadline, Adapter: req.Adapter, Ready: func(refusal error) { ready <- refusal }}
+	r, cold, err := m.enqueue(req, t)
 	if err != nil {
 		return Grant{}, err
 	}
@@ -46,7 +46,7 @@
 		if refusal != nil {
 			return Grant{}, refusal
 		}
-		return m.granted(r, w, cold), nil
+		return m.newGrant(r, req, cold), nil
 	case <-ctx.Done():
 	}
 	m.mu.Lock()
@@ -56,141 +56,147 @@
 		if refusal := <-ready; refusal != nil {
 			return Grant{}, refusal
 		}
-		m.granted(r, w, cold).Release()
+		m.newGrant(r, req, cold).Release()
 	}
-	return Grant{}, m.lateRefusal(ctx, r)
+	return Grant{}, m.timeoutRefusal(ctx, r)
 }
 
-// lateRefusal words the refusal of a request that waited in vain.
-func (m *Manager) lateRefusal(ctx context.Context, r *replica) error {
+// timeoutRefusal returns the refusal of a request whose context ended while it was queued.
+func (m *Manager) timeoutRefusal(ctx context.Context, r *replica) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if refused := context.Cause(ctx); refused != ctx.Err() {
-		return refused
+	if cause := context.Cause(ctx); cause != ctx.Err() {
+		return cause
 	}
-	if r.lastFail != "" {
-		return fault.NotRun(fault.DeadlineExceeded, "model %q was not loaded in time: %s", r.name.Model, r.lastFail)
+	if r.lastLoadError != "" {
+		return fault.NotRun(fault.DeadlineExceeded, "model %q was not loaded in time: %s", r.name.Model, r.lastLoadError)
 	}
 	return fault.NotRun(fault.DeadlineExceeded, "no place on model %q came free in time", r.name.Model)
 }
 
-// enqueue admits a request to the queue of its replica.
-func (m *Manager) enqueue(w Want, t *queue.Ticket) (*replica, bool, error) {
+// enqueue adds an admitted request to the queue of its replica and reports
+// whether it has to wait for a load.
+func (m *Manager) enqueue(req Request, t *queue.Ticket) (*replica, bool, error) {
 	v := m.holder.View()
-	res, ok := v.Model(w.Model)
+	res, ok := v.Model(req.Model)
 	if !ok {
-		return nil, false, fault.NotRun(fault.NotFound, "model %q is not declared", w.Model)
+		return nil, false, fault.NotRun(fault.NotFound, "model %q is not declared", req.Model)
 	}
-	if _, ok := v.Adapter(w.Adapter); w.Adapter != "" && !ok {
-		return nil, false, fault.NotRun(fault.NotFound, "adapter %q is not declared", w.Adapter)
+	if _, ok := v.Adapter(req.Adapter); req.Adapter != "" && !ok {
+		return nil, false, fault.NotRun(fault.NotFound, "adapter %q is not declared", req.Adapter)
 	}
 	now := time.Now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if refusal := m.admit(v, w, *res.Model, now); refusal != nil {
+	if refusal := m.admit(v, req, *res.Model, now); refusal != nil {
 		return nil, false, refusal
 	}
-	r := m.replica(w.Model, *res.Model)
+	r := m.ensureReplica(req.Model, *res.Model)
 	if !r.queue.Push(t, now) {
-		return nil, false, fault.NotRun(fault.Overloaded, "%d requests wait for model %q", queue.Limit, w.Model).WithRetryAfter(r.service)
+		return nil, false, fault.NotRun(fault.Overloaded, "%d requests wait for model %q", queue.Limit, req.Model).WithRetryAfter(r.meanServiceTime)
 	}
-	r.observe(now, m.coldTime(r))
-	cold := r.phase != loaded || !m.adapterReady(r, w.Adapter)
+	r.recordArrival(now, m.expectedLoadTime(r))
+	cold := r.phase != loaded || !m.adapterLoaded(r, req.Adapter)
 	if cold {
-		r.cold++
+		r.coldRequestCount++
 	}
-	m.pump(v, r, now)
+	m.startQueued(v, r, now)
 	return r, cold, nil
 }
 
-// observe adds the gap before an arrival that ends a quiet time.
-func (r *replica) observe(now time.Time, cold time.Duration) {
-	quiet := r.running == 0 && r.queue.Len() == 1
-	r.crowd.Arrived(now, quiet, cold)
-	if quiet && !r.quietSince.IsZero() {
-		r.gaps.Observe(now.Sub(r.quietSince))
+// recordArrival updates the arrival statistics for a request that has just been queued.
+func (r *replica) recordArrival(now time.Time, loadTime time.Duration) {
+	idle := r.running == 0 && r.queue.Len() == 1
+	r.coldWaits.Arrived(now, idle, loadTime)
+	if idle && !r.lastRequestEnd.IsZero() {
+		r.idleGaps.Observe(now.Sub(r.lastRequestEnd))
 	}
-	r.hits++
+	r.requestCount++
 }
 
-// admit refuses a request that cannot be served here in time.
-func (m *Manager) admit(v *view.View, w Want, spec kinds.ModelSpec, now time.Time) error {
-	p := v.Plan(plan.ModelKey(w.Model))
-	r := m.replicas[w.Model]
-	up := r != nil && r.phase == loaded
-	s, here := p.At(m.set.Node)
-	next := m.next(p, w)
+// admit returns a refusal, with a redirect if possible, for a request that
+// cannot be served here in time, else nil.
+func (m *Manager) admit(v *view.View, req Request, spec kinds.ModelSpec, now time.Time) error {
+	p := v.Plan(plan.ModelKey(req.Model))
+	r := m.replicas[req.Model]
+	replicaLoaded := r != nil && r.phase == loaded
+	s, hasSlot := p.At(m.settings.Node)
+	redirect := m.nextEndpoint(p, req)
 	switch {
 	case m.deposed || m.closed:
-		return fault.NotRun(fault.Deposed, "another agent has taken over endpoint %q", m.set.Node).WithEndpoint(next)
-	case !here || s.State != plan.Active || (r != nil && r.releasing):
-		return fault.NotRun(fault.NoSlot, "model %q has no active slot at endpoint %q", w.Model, m.set.Node).WithEndpoint(next)
-	case !up && !m.confirmed:
-		return fault.NotRun(fault.StoreAway, "endpoint %q has not read the plan since its start", m.set.Node).WithEndpoint(next)
-	case next != "" && !m.room(m.missing(v, w, spec)):
-		return fault.NotRun(fault.NoMemory, "endpoint %q is full of busy replicas", m.set.Node).WithEndpoint(next)
-	}
-	return m.admitForecast(w, spec, r, next, now)
+		return fault.NotRun(fault.Deposed, "another agent has taken over endpoint %q", m.settings.Node).WithEndpoint(redirect)
+	case !hasSlot || s.State != plan.Active || (r != nil && r.releasing):
+		return fault.NotRun(fault.NoSlot, "model %q has no active slot at endpoint %q", req.Model, m.settings.Node).WithEndpoint(redirect)
+	case !replicaLoaded && !m.confirmed:
+		return fault.NotRun(fault.StoreAway, "endpoint %q has not read the plan since its start", m.settings.Node).WithEndpoint(redirect)
+	case redirect != "" && !m.canFit(m.missingBytes(v, req, spec)):
+		return fault.NotRun(fault.NoMemory, "endpoint %q is full of busy replicas", m.settings.Node).WithEndpoint(redirect)
+	}
+	return m.checkForecast(req, spec, r, redirect, now)
 }
 
-// missing returns the memory that a request's model and adapter would still take here.
-func (m *Manager) missing(v *view.View, w Want, spec kinds.ModelSpec) int64 {
+// missingBytes returns the memory needed to load what the request needs and is not loaded.
+func (m *Manager) missingBytes(v *view.View, req Request, spec kinds.ModelSpec) int64 {
 	var bytes int64
-	r := m.replicas[w.Model]
-	if r == nil || r.phase == dormant {
+	r := m.replicas[req.Model]
+	if r == nil || r.phase == unloaded {
 		bytes += spec.MemoryBytes
 	}
-	a, wanted := v.Adapter(w.Adapter)
-	if wanted && (r == nil || r.adapters[w.Adapter] == nil || r.adapters[w.Adapter].phase == dormant) {
+	a, declared := v.Adapter(req.Adapter)
+	if declared && (r == nil || r.adapters[req.Adapter] == nil || r.adapters[req.Adapter].phase == unloaded) {
 		bytes += a.Adapter.MemoryBytes
 	}
 	return bytes
 }
 
-// admitForecast refuses a request whose answer is forecast past its deadline, or sends it on where another slot is quicker.
-func (m *Manager) admitForecast(w Want, spec kinds.ModelSpec, r *replica, next string, now time.Time) error {
-	load := m.load(r, spec)
-	known := pick.Replica{Loaded: load.Loaded, Running: load.Running, Queued: load.Queued, Capacity: load.Capacity, Service: load.Service, Cold: m.coldLeft(r, load.Cold, now)}
-	wait := pick.Forecast(known)
-	if load.Loaded && next != "" && pick.Widen(load.Queued+1, load.Capacity, load.Service, load.Cold) {
-		return fault.NotRun(fault.Overloaded, "queue of model %q at endpoint %q is long", w.Model, m.set.Node).WithEndpoint(next)
+// checkForecast refuses a request that is forecast to miss its deadline, and
+// redirects one for which adding another replica is quicker than queueing here.
+func (m *Manager) checkForecast(req Request, spec kinds.ModelSpec, r *replica, redirect string, now time.Time) error {
+	load := m.replicaLoad(r, spec)
+	replicaState := pick.Replica{Loaded: load.Loaded, Running: load.Running, Queued: load.Queued, Capacity: load.Capacity, Service: load.Service, Cold: m.remainingLoadTime(r, load.Cold, now)}
+	wait := pick.Forecast(replicaState)
+	if load.Loaded && redirect != "" && pick.Widen(load.Queued+1, load.Capacity, load.Service, load.Cold) {
+		return fault.NotRun(fault.Overloaded, "queue of model %q at endpoint %q is long", req.Model, m.settings.Node).WithEndpoint(redirect)
 	}
-	if !pick.InTime(wait, load.Service, w.Deadline.Sub(now)) {
+	if !pick.InTime(wait, load.Service, req.Deadline.Sub(now)) {
 		return fault.NotRun(fault.DeadlineTooSoon, "model %q is expected to answer in %s, the deadline is in %s",
-			w.Model, (wait + load.Service).Round(time.Millisecond), w.Deadline.Sub(now).Round(time.Millisecond)).WithRetryAfter(wait).WithEndpoint(next)
+			req.Model, (wait + load.Service).Round(time.Millisecond), req.Deadline.Sub(now).Round(time.Millisecond)).WithRetryAfter(wait).WithEndpoint(redirect)
 	}
 	return nil
 }
 
-// next returns the endpoint of the slot after this one, or empty for none.
-func (m *Manager) next(p plan.Plan, w Want) string {
-	if w.Final {
+// nextEndpoint returns the endpoint of the active slot that follows this
+// endpoint's, or of the first one if this endpoint has none; empty if there is
+// none or the request is final.
+func (m *Manager) nextEndpoint(p plan.Plan, req Request) string {
+	if req.Final {
 		return ""
 	}
-	after := false
+	passedSelf := false
 	for _, s := range p.Active() {
-		if after {
+		if passedSelf {
 			return s.Endpoint
 		}
-		after = s.Endpoint == m.set.Node
+		passedSelf = s.Endpoint == m.settings.Node
 	}
-	if !after && len(p.Active()) > 0 {
+	if !passedSelf && len(p.Active()) > 0 {
 		return p.Active()[0].Endpoint
 	}
 	return ""
 }
 
-// coldLeft returns the expected rest of a load.
-func (m *Manager) coldLeft(r *replica, cold time.Duration, now time.Time) time.Duration {
+// remainingLoadTime returns the expected time until the replica is loaded,
+// given the expected time of a whole load.
+func (m *Manager) remainingLoadTime(r *replica, loadTime time.Duration, now time.Time) time.Duration {
 	if r != nil && r.phase == loading {
-		return max(0, cold-now.Sub(r.lastWake))
+		return max(0, loadTime-now.Sub(r.lastLoadStart))
 	}
-	return cold
+	return loadTime
 }
 
-// granted builds the grant of a request that was let run.
-func (m *Manager) granted(r *replica, w Want, cold bool) Grant {
-	began := time.Now()
+// newGrant returns the grant of a request that has been started.
+func (m *Manager) newGrant(r *replica, req Request, cold bool) Grant {
+	startedAt := time.Now()
 	released := false
 	release := func() {
 		now := time.Now()
@@ -200,52 +206,53 @@
 			return
 		}
 		released = true
-		r.service = blend(r.service, now.Sub(began))
-		m.finish(r, w, now)
+		r.meanServiceTime = movingAverage(r.meanServiceTime, now.Sub(startedAt))
+		m.endRequest(r, req, now)
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	name := r.name
-	if a := r.adapters[w.Adapter]; a != nil {
+	if a := r.adapters[req.Adapter]; a != nil {
 		name = a.name
 	}
 	return Grant{Item: name, Cold: cold, Release: release}
 }
 
-// finish frees the place of a request.
-func (m *Manager) finish(r *replica, w Want, now time.Time) {
-	r.end(now)
+// endRequest records the end of a request and starts queued ones.
+func (m *Manager) endRequest(r *replica, req Request, now time.Time) {
+	r.endRequest(now)
 	if r.running == 0 {
-		r.quietSince = now
+		r.lastRequestEnd = now
 	}
-	if w.Class == kinds.Patient {
-		r.patient--
+	if req.Class == kinds.Patient {
+		r.patientRunning--
 	}
-	if a := r.adapters[w.Adapter]; a != nil {
-		a.end(now)
+	if a := r.adapters[req.Adapter]; a != nil {
+		a.endRequest(now)
 	}
 	m.reconcile(now)
 }
 
-// Load returns what the agent tells of a model with its replies.
-func (m *Manager) Load(model string) wire.Load {
+// ReplicaLoad returns the load of the model's replica that the agent sends with its
+// replies; zero if the model is not declared.
+func (m *Manager) ReplicaLoad(model string) wire.Load {
 	res, ok := m.holder.View().Model(model)
 	if !ok {
 		return wire.Load{}
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.load(m.replicas[model], *res.Model)
+	return m.replicaLoad(m.replicas[model], *res.Model)
 }
 
-func (m *Manager) load(r *replica, spec kinds.ModelSpec) wire.Load {
+func (m *Manager) replicaLoad(r *replica, spec kinds.ModelSpec) wire.Load {
 	l := wire.Load{Capacity: spec.Slots(), Cold: spec.ColdStart.Std()}
 	if r == nil {
 		return l
 	}
-	if r.loadTime > 0 {
-		l.Cold = r.loadTime
+	if r.meanLoadTime > 0 {
+		l.Cold = r.meanLoadTime
 	}
-	l.Loaded, l.Running, l.Queued, l.Service = r.phase == loaded, r.running, r.queue.Len(), r.service
+	l.Loaded, l.Running, l.Queued, l.Service = r.phase == loaded, r.running, r.queue.Len(), r.meanServiceTime
 	return l
 }
--- a/internal/agent/slots/evict_test.go
+++ b/internal/agent/slots/evict_test.go
@@ -17,8 +17,8 @@
 	"foxtailcroft/internal/standin/motor"
 )
 
-// declared returns a holder that shows models of 60 bytes with a slot at "e".
-func declared(g *WithT, names ...string) *view.Holder {
+// holderWithModels returns a holder whose view shows models of 60 bytes, each with a slot at "e".
+func holderWithModels(g *WithT, names ...string) *view.Holder {
 	h := view.NewHolder()
 	d := view.Delta{}
 	add := func(key string, v any) {
@@ -35,25 +35,26 @@
 	return h
 }
 
-// TestIdleReplicaMakesWay wakes a second model where only one fits.
-func TestIdleReplicaMakesWay(t *testing.T) {
+// TestLoadEvictsIdleReplica loads a second model where only one fits: the idle
+// one must be evicted first and the eviction recorded in the audit trail.
+func TestLoadEvictsIdleReplica(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		var noted []audit.Record
+		var auditRecords []audit.Record
 		eng := motor.New(motor.Settings{MemoryBytes: 100, LoadTime: time.Second, UnloadTime: time.Second})
-		m, stop := New(Settings{Node: "e", MemoryBytes: 100, OrderTimeout: time.Minute, Note: func(r audit.Record) { noted = append(noted, r) }},
-			declared(g, "first", "second"), eng, freePermits{}, func() {}, zap.NewNop())
+		m, stop := New(Settings{Node: "e", MemoryBytes: 100, OrderTimeout: time.Minute, Note: func(r audit.Record) { auditRecords = append(auditRecords, r) }},
+			holderWithModels(g, "first", "second"), eng, noopPermits{}, func() {}, zap.NewNop())
 		defer stop()
 		m.Confirm(1)
 		for _, name := range []string{"first", "second"} {
-			grant, err := m.Acquire(context.Background(), Want{Model: name, Deadline: time.Now().Add(time.Minute)})
+			grant, err := m.Acquire(context.Background(), Request{Model: name, Deadline: time.Now().Add(time.Minute)})
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(grant.Cold).To(BeTrue())
 			grant.Release()
 		}
-		g.Expect(noted).To(HaveLen(1))
-		g.Expect(noted[0].Action).To(Equal("Evicted"))
-		g.Expect(noted[0].Key).To(Equal("Model/first"))
+		g.Expect(auditRecords).To(HaveLen(1))
+		g.Expect(auditRecords[0].Action).To(Equal("Evicted"))
+		g.Expect(auditRecords[0].Key).To(Equal("Model/first"))
 		g.Expect(eng.Stats().Overcommits).To(BeZero())
 	})
 }
--- a/internal/agent/slots/item.go
+++ b/internal/agent/slots/item.go
@@ -9,11 +9,11 @@
 	"foxtailcroft/internal/policy/keep"
 )
 
-// phase is where an item stands between the engine's memory and nothing.
+// phase is the state of an item in its load cycle.
 type phase int
 
 const (
-	dormant phase = iota
+	unloaded phase = iota
 	loading
 	loaded
 	unloading
@@ -23,92 +23,95 @@
 	return [...]string{"Dormant", "Loading", "Loaded", "Unloading"}[p]
 }
 
-// item is a model or an adapter at this endpoint; it takes memory in every phase but dormant.
+// item is a model or an adapter at this endpoint. It counts against the
+// endpoint's memory in every phase except unloaded.
 type item struct {
 	name    engine.Item
 	bytes   int64
 	phase   phase
 	running int
-	// idleSince is when the last request ended, or the load if none came.
-	idleSince time.Time
-	lastWake  time.Time
-	// settled is when the last load or unload ended.
-	settled time.Time
-	loads   int64
-	idle    time.Duration
-	// loadTime is the mean time of a load.
-	loadTime time.Duration
-	colds    []time.Duration
+	// idleSince is when the last request ended, or when the load ended if no request has run since.
+	idleSince     time.Time
+	lastLoadStart time.Time
+	// lastOrderEnd is when the last load or unload ended.
+	lastOrderEnd time.Time
+	loadCount    int64
+	idleTotal    time.Duration
+	// meanLoadTime is a moving average of the load times; 0 before the first load.
+	meanLoadTime    time.Duration
+	recentLoadTimes []time.Duration
 }
 
-// maxColds bounds the load times kept for percentiles.
-const maxColds = 128
+// maxRecentLoadTimes bounds the load times kept for computing percentiles.
+const maxRecentLoadTimes = 128
 
-// loadedAfter notes a finished load.
-func (i *item) loadedAfter(took time.Duration, now time.Time) {
-	i.phase, i.idleSince, i.settled = loaded, now, now
-	i.loads++
-	i.loadTime = blend(i.loadTime, took)
-	i.colds = append(i.colds, took)
-	if len(i.colds) > maxColds {
-		i.colds = i.colds[1:]
+// recordLoad marks the item as loaded and adds the load time to its statistics.
+func (i *item) recordLoad(took time.Duration, now time.Time) {
+	i.phase, i.idleSince, i.lastOrderEnd = loaded, now, now
+	i.loadCount++
+	i.meanLoadTime = movingAverage(i.meanLoadTime, took)
+	i.recentLoadTimes = append(i.recentLoadTimes, took)
+	if len(i.recentLoadTimes) > maxRecentLoadTimes {
+		i.recentLoadTimes = i.recentLoadTimes[1:]
 	}
 }
 
-// begin notes the start of a request.
-func (i *item) begin(now time.Time) {
+// beginRequest records that a request has started on the item.
+func (i *item) beginRequest(now time.Time) {
 	if i.running == 0 {
-		i.idle += now.Sub(i.idleSince)
+		i.idleTotal += now.Sub(i.idleSince)
 	}
 	i.running++
 }
 
-// end notes the end of a request.
-func (i *item) end(now time.Time) {
+// endRequest records that a request on the item has ended.
+func (i *item) endRequest(now time.Time) {
 	i.running--
 	if i.running == 0 {
 		i.idleSince = now
 	}
 }
 
-// blend returns a moving mean.
-func blend(mean, next time.Duration) time.Duration {
+// movingAverage returns the exponentially weighted moving average after the
+// next sample, which has weight 1/4; a mean of 0 stands for no samples yet.
+func movingAverage(mean, next time.Duration) time.Duration {
 	if mean == 0 {
 		return next
 	}
 	return mean + (next-mean)/4
 }
 
-// replica is the slot of one model with its adapters and waiting requests.
+// replica is a model's replica at this endpoint with its adapters and queued requests.
 type replica struct {
 	item
-	spec     kinds.ModelSpec
-	adapters map[string]*item
-	queue    queue.Queue
-	patient  int
-	// gaps is the time from quietSince, when the last request ended, to the next arrival.
-	gaps       keep.Gaps
-	quietSince time.Time
-	crowd      keep.Crowd
-	service    time.Duration
-	// hits counts requests, cold those of them that waited for a load.
-	hits int64
-	cold int64
-	// releasing stops new requests until the slot is gone.
+	spec           kinds.ModelSpec
+	adapters       map[string]*item
+	queue          queue.Queue
+	patientRunning int
+	// idleGaps records the times from lastRequestEnd to the next arrival.
+	// lastRequestEnd is first set at the end of the first load or at adoption.
+	idleGaps        keep.Gaps
+	lastRequestEnd  time.Time
+	coldWaits       keep.Crowd
+	meanServiceTime time.Duration
+	// requestCount counts requests; coldRequestCount counts those that had to wait for a load.
+	requestCount     int64
+	coldRequestCount int64
+	// releasing refuses new requests while the slot is not active.
 	releasing bool
-	// retryAt delays the next load after one that failed.
-	retryAt  time.Time
-	failures int
-	lastFail string
+	// retryAt is the earliest time of the next load after a failed one.
+	retryAt       time.Time
+	loadFailures  int
+	lastLoadError string
 }
 
-// quiet reports whether no request runs or waits.
-func (r *replica) quiet() bool {
+// isIdle reports whether no request runs or waits.
+func (r *replica) isIdle() bool {
 	return r.running == 0 && r.queue.Len() == 0
 }
 
-// busyAdapters reports whether a load or unload of an adapter is under way.
-func (r *replica) busyAdapters() bool {
+// adapterOrderPending reports whether a load or unload of an adapter is in progress.
+func (r *replica) adapterOrderPending() bool {
 	for _, a := range r.adapters {
 		if a.phase == loading || a.phase == unloading {
 			return true
--- a/internal/agent/slots/manager.go
+++ b/internal/agent/slots/manager.go
@@ -15,63 +15,64 @@
 	"foxtailcroft/internal/core/view"
 )
 
-// Settings are what a Manager needs to know of its endpoint.
+// Settings configures the Manager of an endpoint.
 type Settings struct {
 	Node        string
 	MemoryBytes int64
-	// Epoch is the fencing number of this agent's orders; Confirm sets it.
+	// Epoch is the fencing token of this agent's orders; Confirm sets it.
 	Epoch int64
-	// OrderTimeout bounds one load or unload with its repeats.
+	// OrderTimeout bounds one load, including the wait for its permit, or one try of an unload.
 	OrderTimeout time.Duration
-	// ReportLag is how old the engine's reports may be.
+	// ReportLag is the maximum staleness of the engine's reports.
 	ReportLag time.Duration
-	// Grace is how long an order of a predecessor may still be on its way to an engine that checks no fencing numbers.
+	// Grace is how long an order of the endpoint's previous agent may still be in
+	// flight. It is 0 for an engine that checks fencing tokens.
 	Grace time.Duration
-	// Check is called before each message of an order.
+	// Check is called before each message of an order; an error stops the message.
 	Check func(context.Context) error
-	// Note is told of each eviction, for the audit trail; it must not block.
+	// Note records an eviction in the audit trail; it must not block.
 	Note func(audit.Record)
 }
 
-// Permitter asks for the right to load from the weight store; it returns a
-// function that gives the permit back and never fails, because a missing
-// permit costs speed only.
+// Permitter obtains permits to load from the weight store.
 type Permitter interface {
-	Permit(ctx context.Context, name engine.Item, rank int, remaining time.Duration) func()
+	// Permit waits for a permit and returns the function that gives it back. It never
+	// fails, because a load without a permit is only slower.
+	Permit(ctx context.Context, name engine.Item, priority int, remaining time.Duration) func()
 }
 
-// Manager owns an endpoint's slots and memory.
+// Manager manages an endpoint's slots and accelerator memory.
 type Manager struct {
-	set    Settings
-	holder *view.Holder
-	engine engine.Engine
-	permit Permitter
-	log    *zap.Logger
-	group  crew.Group
-	ctx    context.Context
+	settings Settings
+	holder   *view.Holder
+	engine   engine.Engine
+	permits  Permitter
+	log      *zap.Logger
+	group    crew.Group
+	ctx      context.Context
 
 	mu       sync.Mutex
 	replicas map[string]*replica
-	// strays are items that the engine holds without a slot here.
+	// strays are items that the engine holds and no replica here accounts for.
 	strays map[engine.Item]*item
-	// cached is how near checkpoints are, by the engine's last report.
+	// cached gives by model where the engine has its checkpoint, "memory" or "disk", by its last report.
 	cached map[string]string
-	// confirmed is set once the store itself has shown the plan.
+	// confirmed is set once the plan has been read from the store itself.
 	confirmed bool
 	deposed   bool
 	closed    bool
-	deposeFn  func()
-	// followed is the view whose slots have records.
-	followed *view.View
+	onDeposed func()
+	// lastView is the view for whose slots replicas were last created.
+	lastView *view.View
 }
 
-// New returns a manager of an engine's slots and the function that stops its
-// work; deposed is called when the engine has refused the manager's epoch.
-func New(set Settings, holder *view.Holder, eng engine.Engine, permit Permitter, deposed func(), log *zap.Logger) (*Manager, func()) {
+// New returns a manager of an engine's slots and the function that stops it.
+// onDeposed is called once, when the engine has refused the manager's epoch.
+func New(settings Settings, holder *view.Holder, eng engine.Engine, permits Permitter, onDeposed func(), log *zap.Logger) (*Manager, func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	m := &Manager{
-		set: set, holder: holder, engine: eng, permit: permit, log: log, ctx: ctx,
-		replicas: map[string]*replica{}, strays: map[engine.Item]*item{}, deposeFn: deposed,
+		settings: settings, holder: holder, engine: eng, permits: permits, log: log, ctx: ctx,
+		replicas: map[string]*replica{}, strays: map[engine.Item]*item{}, onDeposed: onDeposed,
 	}
 	return m, func() {
 		m.mu.Lock()
@@ -82,12 +83,13 @@
 	}
 }
 
-// tickPeriod is how often time alone is looked at: keep-alive, wakes ahead, repeats.
-const tickPeriod = 500 * time.Millisecond
+// reconcilePeriod is how often the state is reconciled without a change of the
+// view, for what depends on time alone: keep-alive and load retries.
+const reconcilePeriod = 500 * time.Millisecond
 
-// Run watches the view and the clock until the context ends.
+// Run reconciles on each change of the view and every reconcilePeriod until the context ends.
 func (m *Manager) Run(ctx context.Context) {
-	tick := time.NewTicker(tickPeriod)
+	tick := time.NewTicker(reconcilePeriod)
 	defer tick.Stop()
 	for {
 		_, changed := m.holder.Changed()
@@ -103,35 +105,36 @@
 	}
 }
 
-// Confirm allows wakes under an epoch, because the store itself has shown the plan.
+// Confirm allows loads under the epoch. It is called once the plan has been read from the store itself.
 func (m *Manager) Confirm(epoch int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.set.Epoch = epoch
+	m.settings.Epoch = epoch
 	m.confirmed = true
 	m.reconcile(time.Now())
 }
 
-// Confirmed reports whether wakes are allowed.
+// Confirmed reports whether Confirm has been called.
 func (m *Manager) Confirmed() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.confirmed
 }
 
-// slot returns the slot that the view shows here for a model.
-func (m *Manager) slot(v *view.View, model string) (plan.Slot, bool) {
-	return v.Plan(plan.ModelKey(model)).At(m.set.Node)
+// localSlot returns the model's slot at this endpoint; false if the view shows none.
+func (m *Manager) localSlot(v *view.View, model string) (plan.Slot, bool) {
+	return v.Plan(plan.ModelKey(model)).At(m.settings.Node)
 }
 
-// mayLoad reports whether the model may be loaded here now.
+// mayLoad reports whether this agent may order a load of the model now.
 func (m *Manager) mayLoad(v *view.View, model string) bool {
-	s, ok := m.slot(v, model)
+	s, ok := m.localSlot(v, model)
 	return ok && s.State == plan.Active && m.confirmed && !m.deposed && !m.closed
 }
 
-// replica returns the model's replica record, making one that is dormant.
-func (m *Manager) replica(model string, spec kinds.ModelSpec) *replica {
+// ensureReplica returns the model's replica, creating an unloaded one if
+// missing, and updates its specification.
+func (m *Manager) ensureReplica(model string, spec kinds.ModelSpec) *replica {
 	r, ok := m.replicas[model]
 	if !ok {
 		r = &replica{adapters: map[string]*item{}}
@@ -142,15 +145,15 @@
 	return r
 }
 
-// used sums the memory of all items that are in the engine or may be.
-func (m *Manager) used() int64 {
+// usedBytes sums the memory of all items that are or may be in the engine. The caller holds the lock.
+func (m *Manager) usedBytes() int64 {
 	var sum int64
 	for _, r := range m.replicas {
-		if r.phase != dormant {
+		if r.phase != unloaded {
 			sum += r.bytes
 		}
 		for _, a := range r.adapters {
-			if a.phase != dormant {
+			if a.phase != unloaded {
 				sum += a.bytes
 			}
 		}
@@ -161,9 +164,9 @@
 	return sum
 }
 
-// Used returns the memory taken by items that are in the engine or may be.
-func (m *Manager) Used() int64 {
+// UsedBytes returns the memory of all items that are or may be in the engine.
+func (m *Manager) UsedBytes() int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.used()
+	return m.usedBytes()
 }
--- a/internal/agent/slots/orders.go
+++ b/internal/agent/slots/orders.go
@@ -15,124 +15,126 @@
 )
 
 const (
-	firstRetry = 500 * time.Millisecond
-	maxRetry   = 15 * time.Second
+	initialRetryDelay = 500 * time.Millisecond
+	maxRetryDelay     = 15 * time.Second
 )
 
-// order starts the load of an item whose memory is already known to fit; from here on its bytes count as used.
-func (m *Manager) order(i *item, r *replica, deadline time.Time, rank int) {
+// startLoad orders the load of an item that fits the free memory; its bytes count as used from now on.
+func (m *Manager) startLoad(i *item, r *replica, deadline time.Time, priority int) {
 	i.phase = loading
-	began := time.Now()
-	i.lastWake = began
+	startedAt := time.Now()
+	i.lastLoadStart = startedAt
 	m.log.Info("loading", zap.Stringer("Item", i.name), zap.Int64("Bytes", i.bytes))
-	o := engine.Order{Item: i.name, Bytes: i.bytes, Fence: m.set.Epoch, Check: m.set.Check}
+	o := engine.Order{Item: i.name, Bytes: i.bytes, Fence: m.settings.Epoch, Check: m.settings.Check}
 	m.group.Go(func() {
-		ctx, cancel := context.WithTimeout(m.ctx, m.set.OrderTimeout)
+		ctx, cancel := context.WithTimeout(m.ctx, m.settings.OrderTimeout)
 		defer cancel()
-		done := m.permit.Permit(ctx, o.Item, rank, time.Until(deadline))
+		returnPermit := m.permits.Permit(ctx, o.Item, priority, time.Until(deadline))
 		err := m.engine.Load(ctx, o)
-		done()
+		returnPermit()
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		m.loadEnded(i, r, err, time.Since(began))
+		m.finishLoad(i, r, err, time.Since(startedAt))
 	})
 }
 
-// loadEnded notes how a load went.
-func (m *Manager) loadEnded(i *item, r *replica, err error, took time.Duration) {
+// finishLoad records the outcome of a load.
+func (m *Manager) finishLoad(i *item, r *replica, err error, took time.Duration) {
 	now := time.Now()
 	if m.closed {
 		return
 	}
-	var full *engine.NoMemory
+	var noMemory *engine.NoMemory
 	switch {
 	case err == nil:
-		i.loadedAfter(took, now)
-		if r.quiet() && i == &r.item && r.quietSince.IsZero() {
-			r.quietSince = now
+		i.recordLoad(took, now)
+		if r.isIdle() && i == &r.item && r.lastRequestEnd.IsZero() {
+			r.lastRequestEnd = now
 		}
-		r.failures, r.lastFail = 0, ""
+		r.loadFailures, r.lastLoadError = 0, ""
 		m.log.Info("loaded", zap.Stringer("Item", i.name), zap.Duration("Took", took))
-	case m.noteFenced(err), errors.As(err, &full):
-		// A refused order took no effect.
-		i.phase, i.settled = dormant, now
-		m.loadFailed(i, r, err, now)
+	case m.handleFenced(err), errors.As(err, &noMemory):
+		// The engine refused the order, so it had no effect.
+		i.phase, i.lastOrderEnd = unloaded, now
+		m.scheduleLoadRetry(i, r, err, now)
 	default:
-		// The order may yet take effect, so the bytes stay counted until an unload is confirmed.
-		m.loadFailed(i, r, err, now)
-		m.unload(i, r)
+		// The order may still take effect, so the bytes count as used until an unload is confirmed.
+		m.scheduleLoadRetry(i, r, err, now)
+		m.startUnload(i, r)
 	}
 	m.reconcile(now)
 }
 
-// loadFailed delays the next try.
-func (m *Manager) loadFailed(i *item, r *replica, err error, now time.Time) {
+// scheduleLoadRetry records a failed load and delays the next one by an exponential backoff.
+func (m *Manager) scheduleLoadRetry(i *item, r *replica, err error, now time.Time) {
 	m.log.Warn("load failed", zap.Stringer("Item", i.name), zap.Error(err))
-	r.failures++
-	r.lastFail = err.Error()
-	r.retryAt = now.Add(min(maxRetry, firstRetry<<min(r.failures-1, 8)))
+	r.loadFailures++
+	r.lastLoadError = err.Error()
+	r.retryAt = now.Add(min(maxRetryDelay, initialRetryDelay<<min(r.loadFailures-1, 8)))
 }
 
-// noteFenced stops all orders if the engine has seen a newer epoch.
-func (m *Manager) noteFenced(err error) bool {
+// handleFenced reports whether the engine refused the order because it has seen
+// a newer epoch, and if so stops all further loads.
+func (m *Manager) handleFenced(err error) bool {
 	var fenced *engine.Fenced
 	if !errors.As(err, &fenced) {
 		return false
 	}
 	if !m.deposed {
 		m.deposed = true
-		m.log.Error("deposed by a newer agent", zap.Error(err))
-		m.deposeFn()
+		m.log.Error("engine refused the fencing token: a newer agent owns the endpoint; stopping all orders", zap.Error(err))
+		m.onDeposed()
 	}
 	return true
 }
 
-// sleep unloads a replica's adapters and then its base model; nothing runs on it.
-func (m *Manager) sleep(r *replica) {
-	waiting := false
+// unloadReplica unloads an idle replica: first its adapters and, once none is
+// left, the base model. It is called again as the unloads end.
+func (m *Manager) unloadReplica(r *replica) {
+	adaptersLeft := false
 	for _, a := range r.adapters {
 		if a.phase == loaded {
-			m.unload(a, r)
+			m.startUnload(a, r)
 		}
-		waiting = waiting || a.phase != dormant
+		adaptersLeft = adaptersLeft || a.phase != unloaded
 	}
-	if !waiting {
-		m.unload(&r.item, r)
+	if !adaptersLeft {
+		m.startUnload(&r.item, r)
 	}
 }
 
-// evict unloads a candidate by its name.
-func (m *Manager) evict(name string) {
-	model, adapter, isAdapter := strings.Cut(name, adapterMark)
+// evict unloads an eviction candidate, given by its name, and records the eviction in the audit trail.
+func (m *Manager) evict(candidate string) {
+	model, adapter, isAdapter := strings.Cut(candidate, adapterSeparator)
 	r := m.replicas[model]
 	key := kinds.Key(kinds.Model, model)
 	if isAdapter {
 		key = kinds.Key(kinds.Adapter, adapter)
 	}
-	m.set.Note(audit.Record{Time: time.Now().UTC(), Actor: m.set.Node, Action: "Evicted", Key: key})
+	m.settings.Note(audit.Record{Time: time.Now().UTC(), Actor: m.settings.Node, Action: "Evicted", Key: key})
 	if isAdapter {
-		m.unload(r.adapters[adapter], r)
+		m.startUnload(r.adapters[adapter], r)
 		return
 	}
-	m.sleep(r)
+	m.unloadReplica(r)
 }
 
-// unload starts an unload that is repeated until the engine confirms it; r is nil for a stray.
-func (m *Manager) unload(i *item, r *replica) {
+// startUnload starts an unload that is retried until the engine confirms it; r is nil for a stray.
+func (m *Manager) startUnload(i *item, r *replica) {
 	if i.phase == loaded && i.running == 0 && !i.idleSince.IsZero() {
-		i.idle += time.Since(i.idleSince)
+		i.idleTotal += time.Since(i.idleSince)
 	}
 	i.phase = unloading
 	m.log.Info("unloading", zap.Stringer("Item", i.name))
-	o := engine.Order{Item: i.name, Bytes: i.bytes, Fence: m.set.Epoch, Check: m.set.Check}
+	o := engine.Order{Item: i.name, Bytes: i.bytes, Fence: m.settings.Epoch, Check: m.settings.Check}
 	m.group.Go(func() {
-		err := m.untilUnloaded(o)
+		err := m.unloadWithRetry(o)
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		if m.noteFenced(err) || err != nil {
+		if m.handleFenced(err) || err != nil {
 			return
 		}
-		i.phase, i.settled = dormant, time.Now()
+		i.phase, i.lastOrderEnd = unloaded, time.Now()
 		if r == nil {
 			delete(m.strays, i.name)
 		}
@@ -140,48 +142,50 @@
 	})
 }
 
-// untilUnloaded repeats an unload until it is confirmed, refused or the manager stops.
-func (m *Manager) untilUnloaded(o engine.Order) error {
-	for wait := firstRetry; ; wait = min(maxRetry, wait*2) {
-		ctx, cancel := context.WithTimeout(m.ctx, m.set.OrderTimeout)
+// unloadWithRetry retries an unload with exponential backoff until the engine
+// confirms it or refuses the fencing token, or the manager stops.
+func (m *Manager) unloadWithRetry(o engine.Order) error {
+	for delay := initialRetryDelay; ; delay = min(maxRetryDelay, delay*2) {
+		ctx, cancel := context.WithTimeout(m.ctx, m.settings.OrderTimeout)
 		err := m.engine.Unload(ctx, o)
 		cancel()
 		var fenced *engine.Fenced
 		if err == nil || errors.As(err, &fenced) || m.ctx.Err() != nil {
 			return err
 		}
-		m.log.Warn("unload not confirmed", zap.Stringer("Item", o.Item), zap.Error(err))
+		m.log.Warn("engine did not confirm an unload; retrying", zap.Stringer("Item", o.Item), zap.Error(err))
 		select {
-		case <-time.After(wait):
+		case <-time.After(delay):
 		case <-m.ctx.Done():
 			return m.ctx.Err()
 		}
 	}
 }
 
-// fenceItem is never loaded; unloading it only shows the engine a new fencing number.
+// fenceItem is never loaded; unloading it only makes the new fencing token known to the engine.
 var fenceItem = engine.Item{Model: "foxtailcroft-fence", Version: "0"}
 
-// Recover reads back what the engine holds from before this agent and counts it
-// until it is adopted or unloaded. It first shows the engine the new epoch, so
-// that an engine that checks fencing numbers refuses a predecessor's order
-// which arrives after the reading, and waits out such an order for the others.
+// Recover reads back what the engine holds from before this agent started and
+// counts it as used until it is adopted or unloaded. It first sends the engine
+// the new epoch, so that an engine that checks fencing tokens refuses orders of
+// the previous agent that arrive after the read. It then waits for ReportLag
+// and Grace, since other engines still accept such orders.
 func (m *Manager) Recover(ctx context.Context, epoch int64) error {
-	if err := m.engine.Unload(ctx, engine.Order{Item: fenceItem, Fence: epoch, Check: m.set.Check}); err != nil {
+	if err := m.engine.Unload(ctx, engine.Order{Item: fenceItem, Fence: epoch, Check: m.settings.Check}); err != nil {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		m.noteFenced(err)
+		m.handleFenced(err)
 		return err
 	}
-	if !pause.For(ctx, m.set.ReportLag+m.set.Grace) {
+	if !pause.For(ctx, m.settings.ReportLag+m.settings.Grace) {
 		return ctx.Err()
 	}
 	return m.ReadBack(ctx)
 }
 
-// ReadBack counts what the engine holds and no replica accounts for as strays.
+// ReadBack reads the engine's report and records as strays the items that no replica accounts for.
 func (m *Manager) ReadBack(ctx context.Context) error {
-	asked := time.Now()
+	requestedAt := time.Now()
 	report, err := m.engine.Report(ctx)
 	if err != nil {
 		return err
@@ -189,13 +193,13 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.cached = report.Cached
-	held := map[engine.Item]bool{}
+	reported := map[engine.Item]bool{}
 	for _, h := range report.Held {
-		held[h.Item] = true
-		m.noteHeld(h, asked)
+		reported[h.Item] = true
+		m.recordReported(h, requestedAt)
 	}
 	for name, s := range m.strays {
-		if !held[name] && s.phase != unloading {
+		if !reported[name] && s.phase != unloading {
 			delete(m.strays, name)
 		}
 	}
@@ -203,28 +207,30 @@
 	return nil
 }
 
-// noteHeld counts one reported item that is not accounted for as a stray; a
-// stray whose load is under way counts, but is not touched until it has ended.
-func (m *Manager) noteHeld(h engine.Held, asked time.Time) {
+// recordReported records a reported item that no replica accounts for as a
+// stray. A stray that is still loading counts as used, but is neither adopted
+// nor unloaded until its load has ended.
+func (m *Manager) recordReported(h engine.Held, requestedAt time.Time) {
 	if s := m.strays[h.Item]; s != nil {
 		if s.phase == loading && !h.Loading {
 			s.phase = loaded
 		}
 		return
 	}
-	if m.accounted(h.Item, asked.Add(-m.set.ReportLag)) {
+	if m.isAccounted(h.Item, requestedAt.Add(-m.settings.ReportLag)) {
 		return
 	}
-	m.log.Warn("engine holds an item that was not ordered", zap.Stringer("Item", h.Item))
-	s := &item{name: h.Item, bytes: h.Bytes, phase: loaded, idleSince: asked}
+	m.log.Warn("engine holds an item that this agent did not order; adopting or unloading it", zap.Stringer("Item", h.Item))
+	s := &item{name: h.Item, bytes: h.Bytes, phase: loaded, idleSince: requestedAt}
 	if h.Loading {
 		s.phase = loading
 	}
 	m.strays[h.Item] = s
 }
 
-// accounted reports whether an item is known, or was so recently that a report as old as since may still show it.
-func (m *Manager) accounted(name engine.Item, since time.Time) bool {
+// isAccounted reports whether a replica accounts for the item, or did so after
+// since, the time of the oldest state that the report may show.
+func (m *Manager) isAccounted(name engine.Item, since time.Time) bool {
 	r := m.replicas[name.Model]
 	if r == nil {
 		return false
@@ -236,10 +242,10 @@
 	if i == nil || i.name != name {
 		return false
 	}
-	return i.phase != dormant || i.settledAfter(since)
+	return i.phase != unloaded || i.orderEndedAfter(since)
 }
 
-// settledAfter reports whether an order for the item ended after a time.
-func (i *item) settledAfter(t time.Time) bool {
-	return i.settled.After(t)
+// orderEndedAfter reports whether the last load or unload of the item ended after t.
+func (i *item) orderEndedAfter(t time.Time) bool {
+	return i.lastOrderEnd.After(t)
 }
--- a/internal/agent/work/model.go
+++ b/internal/agent/work/model.go
@@ -18,7 +18,7 @@
 // generate runs a model's attempt.
 func (w *Worker) generate(ctx context.Context, a *tries.Attempt) wire.Done {
 	began := time.Now()
-	grant, err := w.Slots.Acquire(ctx, slots.Want{
+	grant, err := w.Slots.Acquire(ctx, slots.Request{
 		Model: a.Run.Model, Adapter: a.Run.Adapter, Class: a.Run.Class, Deadline: a.Deadline, Final: a.Run.Final,
 	})
 	if err != nil {
--- a/internal/agent/work/work.go
+++ b/internal/agent/work/work.go
@@ -119,7 +119,7 @@
 	if w.Gate != nil {
 		return w.Gate.Load()
 	}
-	return w.Slots.Load(run.Model)
+	return w.Slots.ReplicaLoad(run.Model)
 }
 
 // execute runs a fresh attempt to its end.
