--- a/internal/agent/claim/log.go
+++ b/internal/agent/claim/log.go
@@ -13,71 +13,74 @@
 	"foxtailcroft/internal/plat/store"
 )
 
-// State is what a partition's owner knows of a key.
+// State is the state of an idempotency key as its partition's owner knows it.
 type State int
 
 // The states of a key.
 const (
-	// New keys may be dispatched by the caller of Claim, once.
-	New State = iota
-	// Busy keys are being dispatched by an earlier call on this owner.
-	Busy
-	// Done keys have an answer.
-	Done
-	// Unknown keys were claimed by a lost owner, or their call's outcome is not known.
+	// Dispatchable means that the caller of Claim may dispatch the call, once.
+	Dispatchable State = iota
+	// InFlight means that this owner is dispatching an earlier call with the key.
+	InFlight
+	// Completed means that the call has an answer.
+	Completed
+	// Unknown means that the key was claimed by a previous owner or that its call's outcome is not known.
 	Unknown
-	// Other keys were claimed for a different call.
-	Other
+	// Mismatch means that the key was claimed for a different call.
+	Mismatch
 )
 
-// Outcome is what became of a key's call.
+// Outcome is the state of a key and, if Completed, the answer of its call.
 type Outcome struct {
 	State  State
 	Answer any
 }
 
+// record is what the owner remembers of one key.
 type record struct {
-	digest  uint64
-	state   State
-	answer  any
-	done    chan struct{}
+	digest uint64
+	state  State
+	answer any
+	// settled is closed when the call in flight has an outcome or its claim has failed.
+	settled chan struct{}
 	expires time.Time
 }
 
-// pendingClaim is a key that waits for its batch to be written.
+// pendingClaim is a claim that waits for its batch to be written.
 type pendingClaim struct {
-	claimed
+	keyClaim
 	result chan error
 }
 
-// Log is the claim log of one partition, on the agent that the plan gives it to.
+// Log is the claim log of one partition, kept by the agent that the plan assigns as its owner.
 type Log struct {
 	service   string
 	partition int
-	self      owner
+	self      ownerRecord
 	store     store.Store
 	retention time.Duration
 	group     crew.Group
 	ctx       context.Context
 
-	mu       sync.Mutex
-	records  map[string]*record
-	revision int64
-	next     int64
-	lease    int64
-	leaseEnd time.Time
-	ready    bool
-	opening  chan struct{}
-	waiting  []*pendingClaim
-	writing  bool
-	// doubt is a batch whose write has no answer; it is settled before the next.
-	doubt *doubtful
+	mu            sync.Mutex
+	records       map[string]*record
+	ownerRevision int64
+	nextSequence  int64
+	leaseID       int64
+	leaseRenewAt  time.Time
+	owned         bool
+	takeoverDone  chan struct{}
+	pending       []*pendingClaim
+	writerRunning bool
+	// unconfirmed is a batch whose write got no answer; it is resolved before the next write.
+	unconfirmed *unconfirmedBatch
 }
 
-// DefaultRetention is how long keys are remembered where the service does not say.
+// DefaultRetention is how long keys are remembered if the service declares no retention.
 const DefaultRetention = 24 * time.Hour
 
-// NewLog returns a partition's log that is not yet taken over, and the function that stops its work.
+// NewLog returns the log of a partition, which the first Claim takes over, and
+// the function that stops its work.
 func NewLog(s store.Store, service string, partition int, endpoint string, incarnation int64, retention time.Duration) (*Log, func()) {
 	if retention == 0 {
 		retention = DefaultRetention
@@ -85,7 +88,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	l := &Log{
 		service: service, partition: partition, store: s, retention: retention, ctx: ctx,
-		self:    owner{Endpoint: endpoint, Incarnation: incarnation, Nonce: uuid.NewString()},
+		self:    ownerRecord{Endpoint: endpoint, Incarnation: incarnation, Nonce: uuid.NewString()},
 		records: map[string]*record{},
 	}
 	return l, func() {
@@ -94,69 +97,70 @@
 	}
 }
 
-// Claim makes sure that the key is this call's alone. Only a caller that gets
-// New may dispatch, and it must call Settle after. A refusal means that the
-// call was not dispatched.
+// Claim claims the key for one call. Only a caller that gets Dispatchable may
+// dispatch the call, and it must call Settle afterwards. An error is the
+// refusal of a call that was not dispatched.
 func (l *Log) Claim(ctx context.Context, key string, digest uint64) (Outcome, error) {
-	if err := l.open(ctx); err != nil {
+	if err := l.ensureOwned(ctx); err != nil {
 		return Outcome{}, err
 	}
 	l.mu.Lock()
 	if r := l.records[key]; r != nil {
-		out, done := l.known(r, digest)
+		out, done := l.existingOutcome(r, digest)
 		l.mu.Unlock()
-		if out.State != Busy {
+		if out.State != InFlight {
 			return out, nil
 		}
-		return l.await(ctx, r, done)
+		return l.awaitOutcome(ctx, r, done)
 	}
-	r := &record{digest: digest, state: Busy, done: make(chan struct{}), expires: time.Now().Add(l.retention)}
+	r := &record{digest: digest, state: InFlight, settled: make(chan struct{}), expires: time.Now().Add(l.retention)}
 	l.records[key] = r
-	p := &pendingClaim{claimed{key, digest}, make(chan error, 1)}
-	l.waiting = append(l.waiting, p)
-	l.write()
+	p := &pendingClaim{keyClaim{key, digest}, make(chan error, 1)}
+	l.pending = append(l.pending, p)
+	l.startWriter()
 	l.mu.Unlock()
 	select {
 	case err := <-p.result:
 		if err != nil {
-			l.forget(key, r)
+			l.failClaim(key, r)
 			return Outcome{}, err
 		}
-		return Outcome{State: New}, nil
+		return Outcome{State: Dispatchable}, nil
 	case <-ctx.Done():
 		l.group.Go(func() { l.abandon(p, r) })
 		return Outcome{}, fault.NotRun(fault.StoreAway, "the claim of the idempotency key was not confirmed in time")
 	}
 }
 
-// abandon waits for the batch of a call that gave up. A claim that was written
-// for it stands for a call that never ran, so the next call with the key may.
+// abandon waits for the batch of a call whose context ended. If the claim was
+// written, its call never ran, so the next call with the key may run.
 func (l *Log) abandon(p *pendingClaim, r *record) {
 	err := <-p.result
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	close(r.done)
+	close(r.settled)
 	if err != nil {
-		l.drop(p.Key, r)
+		l.removeRecord(p.Key, r)
 		return
 	}
-	r.state, r.done = New, make(chan struct{})
+	r.state, r.settled = Dispatchable, make(chan struct{})
 }
 
-// known returns what a record says to a call with a digest.
-func (l *Log) known(r *record, digest uint64) (Outcome, chan struct{}) {
+// existingOutcome returns the outcome of an existing record for a call with
+// the digest, and the channel to wait on if it is InFlight.
+func (l *Log) existingOutcome(r *record, digest uint64) (Outcome, chan struct{}) {
 	switch {
 	case r.digest != digest:
-		return Outcome{State: Other}, nil
-	case r.state == New:
-		r.state = Busy
-		return Outcome{State: New}, nil
+		return Outcome{State: Mismatch}, nil
+	case r.state == Dispatchable:
+		r.state = InFlight
+		return Outcome{State: Dispatchable}, nil
 	}
-	return Outcome{State: r.state, Answer: r.answer}, r.done
+	return Outcome{State: r.state, Answer: r.answer}, r.settled
 }
 
-// await waits for the call that is being dispatched under the same key.
-func (l *Log) await(ctx context.Context, r *record, done chan struct{}) (Outcome, error) {
+// awaitOutcome waits for the outcome of the call in flight under the same key.
+func (l *Log) awaitOutcome(ctx context.Context, r *record, done chan struct{}) (Outcome, error) {
 	select {
 	case <-done:
 	case <-ctx.Done():
@@ -164,64 +168,67 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if r.state == New || r.state == Busy {
+	if r.state == Dispatchable || r.state == InFlight {
 		return Outcome{}, fault.NotRun(fault.StoreAway, "an earlier call with the idempotency key was given up before it ran")
 	}
 	return Outcome{State: r.state, Answer: r.answer}, nil
 }
 
-// forget drops the record of a key that was not claimed.
-func (l *Log) forget(key string, r *record) {
+// failClaim removes the record of a key whose claim was not written.
+func (l *Log) failClaim(key string, r *record) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.drop(key, r)
-	close(r.done)
+	l.removeRecord(key, r)
+	close(r.settled)
 }
 
-// drop removes a record unless a newer one stands for its key.
-func (l *Log) drop(key string, r *record) {
+// removeRecord removes the record unless its key has a newer one. The caller holds the lock.
+func (l *Log) removeRecord(key string, r *record) {
 	if l.records[key] == r {
 		delete(l.records, key)
 	}
 }
 
-// Settle records what became of a dispatched call. With state New the call was
-// proven not to have run, and the next call with the key may.
+// Settle records the outcome of a dispatched call. The state Dispatchable means
+// that the call certainly did not run, so the next call with the key may run.
 func (l *Log) Settle(key string, o Outcome) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.records[key]
-	if r == nil || r.state != Busy {
+	if r == nil || r.state != InFlight {
 		return
 	}
 	r.state, r.answer = o.State, o.Answer
-	close(r.done)
-	if o.State == New {
-		r.done = make(chan struct{})
+	close(r.settled)
+	if o.State == Dispatchable {
+		r.settled = make(chan struct{})
 	}
 }
 
-// Expire drops the records that are older than the retention.
+// Expire removes the records that are older than the retention, except those in flight.
 func (l *Log) Expire(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for key, r := range l.records {
-		if now.After(r.expires) && r.state != Busy {
+		if now.After(r.expires) && r.state != InFlight {
 			delete(l.records, key)
 		}
 	}
 }
 
-// deposed refuses what waits and makes the next call take over again.
-func (l *Log) deposed() error {
-	l.ready = false
+// loseOwnership marks the partition as not owned and forgets all records, so that
+// the next call takes it over again. It returns the refusal for the calls of the
+// failed batch. The caller holds the lock.
+func (l *Log) loseOwnership() error {
+	l.owned = false
 	l.records = map[string]*record{}
 	return fault.NotRun(fault.Deposed, "partition %d of service %q has another owner", l.partition, l.service)
 }
 
+// decodeBatch decodes a stored batch; an unreadable one is empty.
 func decodeBatch(value []byte) batch {
 	var b batch
-	// An unreadable batch claims nothing that could be compared.
+	// An unreadable batch has no claims or nonce to compare with.
 	_ = json.Unmarshal(value, &b)
 	return b
 }
--- a/internal/agent/claim/log_test.go
+++ b/internal/agent/claim/log_test.go
@@ -15,8 +15,8 @@
 
 const retention = time.Hour
 
-// logs opens the claim logs of two agents for one partition.
-func logs(s *platf.Memory) (a, b *Log, stop func()) {
+// newLogs returns the claim logs of two agents for one partition.
+func newLogs(s *platf.Memory) (a, b *Log, stop func()) {
 	a, stopA := NewLog(s, "book", 0, "agent-a", 1, retention)
 	b, stopB := NewLog(s, "book", 0, "agent-b", 1, retention)
 	return a, b, func() {
@@ -25,13 +25,15 @@
 	}
 }
 
-// TestDeposedOwnerLearnsItAfterTheLogHasExpired pauses an owner until the
-// batches of its successor that followed its own have expired.
-func TestDeposedOwnerLearnsItAfterTheLogHasExpired(t *testing.T) {
+// TestClaimByDeposedOwnerIsRefusedAfterLogExpiry lets a deposed owner claim a key
+// after all batches, its own and its successor's, have expired. The key of the
+// batch that it writes next is then free again, so only the revision of the owner
+// key prevents the write.
+func TestClaimByDeposedOwnerIsRefusedAfterLogExpiry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		ctx := context.Background()
-		a, b, stop := logs(platf.NewMemory(1))
+		a, b, stop := newLogs(platf.NewMemory(1))
 		defer stop()
 		claim := func(l *Log, key string) (Outcome, error) { return l.Claim(ctx, key, 1) }
 		for _, step := range []struct {
@@ -40,13 +42,13 @@
 		}{{a, "k0"}, {b, "k1"}} {
 			out, err := claim(step.log, step.key)
 			g.Expect(err).NotTo(HaveOccurred())
-			g.Expect(out.State).To(Equal(New))
+			g.Expect(out.State).To(Equal(Dispatchable))
 		}
 		time.Sleep(2 * retention)
 		out, err := claim(b, "shared")
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(out.State).To(Equal(New))
-		b.Settle("shared", Outcome{State: Done})
+		g.Expect(out.State).To(Equal(Dispatchable))
+		b.Settle("shared", Outcome{State: Completed})
 		_, err = claim(a, "shared")
 		var refused *fault.Refusal
 		g.Expect(fault.As(err, &refused)).To(BeTrue(), "%v", err)
@@ -54,19 +56,20 @@
 	})
 }
 
-// TestSuccessorSeesEveryClaim lets one owner claim keys under lost answers and another take over.
+// TestSuccessorSeesEveryClaim lets one owner claim keys while the store loses
+// half of its answers. An owner that then takes over must find each key claimed.
 func TestSuccessorSeesEveryClaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		s := platf.NewMemory(3)
-		a, b, stop := logs(s)
+		a, b, stop := newLogs(s)
 		defer stop()
 		s.SetFaults(platf.Faults{LoseAnswers: 0.5})
 		var dispatched []string
 		for i := range 40 {
 			ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 			key := fmt.Sprint("k", i)
-			if out, err := a.Claim(ctx, key, 1); err == nil && out.State == New {
+			if out, err := a.Claim(ctx, key, 1); err == nil && out.State == Dispatchable {
 				dispatched = append(dispatched, key)
 			}
 			cancel()
--- a/internal/agent/claim/wire.go
+++ b/internal/agent/claim/wire.go
@@ -8,9 +8,9 @@
 	"foxtailcroft/internal/plat/store"
 )
 
-// owner is the value of a partition's owner key; each takeover rewrites it, and
-// every batch is bound to its revision.
-type owner struct {
+// ownerRecord is the value of a partition's owner key. Each takeover rewrites
+// it, and a batch is written only if the key still has the owner's revision.
+type ownerRecord struct {
 	Endpoint    string
 	Incarnation int64
 	Nonce       string
@@ -19,11 +19,11 @@
 // batch is one append to a partition's log.
 type batch struct {
 	Nonce  string
-	Claims []claimed
+	Claims []keyClaim
 }
 
-// claimed is one key with the digest of the call it stands for.
-type claimed struct {
+// keyClaim is one key with the digest of the call that claimed it.
+type keyClaim struct {
 	Key    string
 	Digest uint64
 }
@@ -40,7 +40,8 @@
 	return fmt.Sprintf("%s%012d", batchPrefix(service, partition), sequence)
 }
 
-func sequenceOf(key string) int64 {
+// sequenceFromKey returns the sequence number of a batch key, 0 if it has none.
+func sequenceFromKey(key string) int64 {
 	n, err := strconv.ParseInt(key[strings.LastIndexByte(key, '/')+1:], 10, 64)
 	if err != nil {
 		return 0
--- a/internal/agent/claim/write.go
+++ b/internal/agent/claim/write.go
@@ -13,60 +13,62 @@
 )
 
 const (
-	// writeTimeout bounds one try of a store call.
-	writeTimeout = 2 * time.Second
-	// writePause separates tries while the store is away.
-	writePause = 200 * time.Millisecond
-	// giveUpAfter is how long a batch is tried before its calls are refused.
-	giveUpAfter = 5 * time.Second
-	// maxBatch bounds the claims of one append.
-	maxBatch = 512
+	// storeCallTimeout bounds one try of a store call.
+	storeCallTimeout = 2 * time.Second
+	// retryPause is the pause between tries while the store is unavailable.
+	retryPause = 200 * time.Millisecond
+	// operationTimeout bounds one batch write with its retries, after which its
+	// calls are refused, and one takeover.
+	operationTimeout = 5 * time.Second
+	// maxBatchClaims bounds the claims of one batch.
+	maxBatchClaims = 512
 )
 
-// doubtful is a batch whose write may or may not have applied.
-type doubtful struct {
+// unconfirmedBatch is a batch whose write may or may not have been applied.
+type unconfirmedBatch struct {
 	key   string
 	batch batch
 }
 
-// write starts the writer unless it runs. Called with the lock held.
-func (l *Log) write() {
-	if l.writing || len(l.waiting) == 0 {
+// startWriter starts the writer unless it runs or nothing is pending. The caller holds the lock.
+func (l *Log) startWriter() {
+	if l.writerRunning || len(l.pending) == 0 {
 		return
 	}
-	l.writing = true
-	l.group.Go(l.writer)
+	l.writerRunning = true
+	l.group.Go(l.runWriter)
 }
 
-// writer appends batches until nothing waits: while one batch is being written, the next one gathers.
-func (l *Log) writer() {
+// runWriter appends batches until no claim is pending. Claims that arrive while
+// one batch is being written go into the next.
+func (l *Log) runWriter() {
 	for {
 		l.mu.Lock()
-		if len(l.waiting) == 0 {
-			l.writing = false
+		if len(l.pending) == 0 {
+			l.writerRunning = false
 			l.mu.Unlock()
 			return
 		}
-		n := min(len(l.waiting), maxBatch)
-		group := l.waiting[:n]
-		l.waiting = l.waiting[n:]
+		n := min(len(l.pending), maxBatchClaims)
+		claims := l.pending[:n]
+		l.pending = l.pending[n:]
 		l.mu.Unlock()
-		err := l.append(group)
-		for _, p := range group {
+		err := l.appendBatch(claims)
+		for _, p := range claims {
 			p.result <- err
 		}
 	}
 }
 
-// append writes one batch under the owner's revision.
-func (l *Log) append(group []*pendingClaim) error {
-	ctx, cancel := context.WithTimeout(l.ctx, giveUpAfter)
+// appendBatch writes one batch on the condition that the owner key has not changed.
+func (l *Log) appendBatch(claims []*pendingClaim) error {
+	ctx, cancel := context.WithTimeout(l.ctx, operationTimeout)
 	defer cancel()
 	b := batch{Nonce: uuid.NewString()}
-	for _, p := range group {
-		b.Claims = append(b.Claims, p.claimed)
+	for _, p := range claims {
+		b.Claims = append(b.Claims, p.keyClaim)
 	}
-	if err := l.settleDoubt(ctx); err != nil {
+	if err := l.resolveUnconfirmed(ctx); err != nil {
 		return err
 	}
 	lease, err := l.currentLease(ctx)
@@ -74,105 +76,108 @@
 		return fault.NotRun(fault.StoreAway, "no lease for the claim log: %v", err)
 	}
 	l.mu.Lock()
-	key, revision := batchKey(l.service, l.partition, l.next), l.revision
+	key, revision := batchKey(l.service, l.partition, l.nextSequence), l.ownerRevision
 	l.mu.Unlock()
-	return l.commit(ctx, key, revision, lease, b)
+	return l.commitBatch(ctx, key, revision, lease, b)
 }
 
-// commit repeats a batch's transaction until it is known to have applied or to have been refused.
-func (l *Log) commit(ctx context.Context, key string, revision, lease int64, b batch) error {
+// commitBatch retries a batch's transaction until the store confirms or refuses
+// it. At the timeout it keeps the batch as unconfirmed.
+func (l *Log) commitBatch(ctx context.Context, key string, revision, lease int64, b batch) error {
 	value, err := json.Marshal(b)
 	if err != nil {
 		return fault.NotRun(fault.BadRequest, "claim batch: %v", err)
 	}
-	t := store.Txn{
+	txn := store.Txn{
 		If:   []store.Compare{{Key: ownerKey(l.service, l.partition), Revision: revision}, {Key: key}},
 		Puts: []store.Put{{Key: key, Value: value, Lease: lease}},
 	}
 	for {
-		once, cancel := context.WithTimeout(ctx, writeTimeout)
-		res, err := l.store.Commit(once, t)
+		callCtx, cancel := context.WithTimeout(ctx, storeCallTimeout)
+		res, err := l.store.Commit(callCtx, txn)
 		cancel()
 		switch {
 		case err == nil && res.Succeeded:
-			return l.advance()
+			return l.advanceSequence()
 		case err == nil:
-			return l.refused(res, key, b.Nonce)
+			return l.resolveRefused(res, key, b.Nonce)
 		}
-		if !pause.For(ctx, writePause) {
+		if !pause.For(ctx, retryPause) {
 			l.mu.Lock()
-			l.doubt = &doubtful{key, b}
+			l.unconfirmed = &unconfirmedBatch{key, b}
 			l.mu.Unlock()
 			return fault.NotRun(fault.StoreAway, "the claim log was not written: %v", err)
 		}
 	}
 }
 
-func (l *Log) advance() error {
+// advanceSequence moves on to the sequence number of the next batch.
+func (l *Log) advanceSequence() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.next++
+	l.nextSequence++
 	return nil
 }
 
-// refused tells an own batch whose answer was lost from one refused because the owner changed.
-func (l *Log) refused(res store.Result, key, nonce string) error {
+// resolveRefused handles a refused transaction: either an earlier try had been
+// applied and its answer was lost, or the partition has another owner.
+func (l *Log) resolveRefused(res store.Result, key, nonce string) error {
 	for _, kv := range res.Found {
 		if kv.Key == key && decodeBatch(kv.Value).Nonce == nonce {
-			return l.advance()
+			return l.advanceSequence()
 		}
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.deposed()
+	return l.loseOwnership()
 }
 
-// settleDoubt finds out whether the batch that was given up was written. Its
-// calls were refused as not run; a key that was written all the same stays
-// open for its next call.
-func (l *Log) settleDoubt(ctx context.Context) error {
+// resolveUnconfirmed finds out whether the unconfirmed batch was written. Its
+// calls were refused as not run, so a key that was written nonetheless may still
+// be claimed by its next call.
+func (l *Log) resolveUnconfirmed(ctx context.Context) error {
 	l.mu.Lock()
-	d := l.doubt
+	d := l.unconfirmed
 	l.mu.Unlock()
 	if d == nil {
 		return nil
 	}
-	once, cancel := context.WithTimeout(ctx, writeTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
-	kv, found, err := l.store.Get(once, d.key)
+	kv, found, err := l.store.Get(callCtx, d.key)
 	if err != nil {
 		return fault.NotRun(fault.StoreAway, "the claim log cannot be read: %v", err)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.doubt = nil
+	l.unconfirmed = nil
 	if !found {
 		return nil
 	}
 	if decodeBatch(kv.Value).Nonce != d.batch.Nonce {
-		return l.deposed()
+		return l.loseOwnership()
 	}
-	l.next++
+	l.nextSequence++
 	return nil
 }
 
-// currentLease returns the lease of new batches; it is renewed by a new lease
-// every quarter of the retention, so that each batch outlives its keys.
+// currentLease returns the store lease for new batches. A new one is granted
+// every quarter of the retention, so that each batch outlives the retention of its keys.
 func (l *Log) currentLease(ctx context.Context) (int64, error) {
 	l.mu.Lock()
-	lease, end := l.lease, l.leaseEnd
+	lease, renewAt := l.leaseID, l.leaseRenewAt
 	l.mu.Unlock()
-	if lease != 0 && time.Now().Before(end) {
+	if lease != 0 && time.Now().Before(renewAt) {
 		return lease, nil
 	}
-	once, cancel := context.WithTimeout(ctx, writeTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
-	lease, err := l.store.Grant(once, l.retention+l.retention/4+time.Minute)
+	lease, err := l.store.Grant(callCtx, l.retention+l.retention/4+time.Minute)
 	if err != nil {
 		return 0, err
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.lease, l.leaseEnd = lease, time.Now().Add(l.retention/4)
+	l.leaseID, l.leaseRenewAt = lease, time.Now().Add(l.retention/4)
 	return lease, nil
 }
--- a/internal/agent/tries/attempt.go
+++ b/internal/agent/tries/attempt.go
@@ -13,6 +13,7 @@
 	"foxtailcroft/internal/link/wire"
 )
 
+// phase is the state of an attempt.
 type phase int
 
 const (
@@ -26,33 +27,33 @@
 type Attempt struct {
 	Run  wire.Run
 	Body []byte
-	// Deadline is the caller's deadline on this agent's clock.
+	// Deadline is the caller's deadline by this agent's clock.
 	Deadline time.Time
 	Ctx      context.Context
 	cancel   context.CancelCauseFunc
-	// held is the registry's account of kept bytes.
-	held *atomic.Int64
-
-	mu     sync.Mutex
-	phase  phase
-	pieces []wire.Piece
-	bytes  int
-	digest *xxhash.Digest
-	done   *wire.Done
-	// endedAt is when the answer was closed.
+	// heldBytes is the registry's count of the bytes of bodies and kept answers.
+	heldBytes *atomic.Int64
+
+	mu          sync.Mutex
+	phase       phase
+	pieces      []wire.Piece
+	answerBytes int
+	digest      *xxhash.Digest
+	done        *wire.Done
+	// endedAt is when the answer was completed.
 	endedAt time.Time
 	conn    *peer.Conn
 	acked   bool
 }
 
-// collectFor is how long a stopping agent waits for an entry to collect an answer.
-const collectFor = 5 * time.Second
+// collectTimeout is how long a stopping agent waits for an entry to acknowledge an answer.
+const collectTimeout = 5 * time.Second
 
-// awaited reports whether the attempt runs or its answer may yet be collected.
-func (a *Attempt) awaited(now time.Time) bool {
+// isAwaited reports whether the attempt has not ended or its answer may still be acknowledged.
+func (a *Attempt) isAwaited(now time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.phase != ended || (!a.acked && now.Sub(a.endedAt) < collectFor)
+	return a.phase != ended || (!a.acked && now.Sub(a.endedAt) < collectTimeout)
 }
 
 // Begin moves a pending attempt to running; it reports false if the attempt was revoked.
@@ -66,38 +67,40 @@
 	return true
 }
 
-// Emit adds a piece to the answer and sends it to the entry that is attached.
+// Emit adds a piece to the answer and sends it to the attached entry.
 func (a *Attempt) Emit(tokens int, data []byte, head *wire.PlainHead) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	p := wire.Piece{Attempt: a.Run.Attempt, Seq: len(a.pieces), Tokens: tokens, Data: data, Head: head}
 	a.pieces = append(a.pieces, p)
-	a.bytes += len(data)
-	a.held.Add(int64(len(data)))
-	// A hash never fails to take bytes.
+	a.answerBytes += len(data)
+	a.heldBytes.Add(int64(len(data)))
+	// Writing to a hash never fails.
 	_, _ = a.digest.Write(data)
 	a.sendPiece(p)
 }
 
-// Finish closes the answer; later calls have no effect.
+// Finish completes the answer; later calls have no effect.
 func (a *Attempt) Finish(d wire.Done) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.finish(d)
+	a.finishLocked(d)
 }
 
-func (a *Attempt) finish(d wire.Done) {
+// finishLocked is Finish for a caller that holds the lock.
+func (a *Attempt) finishLocked(d wire.Done) {
 	if a.phase == ended {
 		return
 	}
 	a.phase, a.endedAt = ended, time.Now()
 	d.Attempt, d.Pieces, d.Digest = a.Run.Attempt, len(a.pieces), a.digest.Sum64()
 	a.done = &d
-	a.send(wire.MethodDone, d)
+	a.notify(wire.MethodDone, d)
 }
 
-// send notifies the attached entry; a connection that fails is let go, and the entry asks again.
-func (a *Attempt) send(method string, message any) {
+// notify sends a message to the attached entry. A connection that fails is
+// detached; the entry sends its Run again.
+func (a *Attempt) notify(method string, message any) {
 	if a.conn == nil {
 		return
 	}
@@ -113,7 +116,8 @@
 	}
 }
 
-// attach sends the answer from a piece on to a connection and keeps sending there.
+// attach sends the answer, starting at piece from, to the connection and makes it
+// the one to which further pieces are sent.
 func (a *Attempt) attach(c *peer.Conn, from int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -122,19 +126,19 @@
 		a.sendPiece(p)
 	}
 	if a.done != nil {
-		a.send(wire.MethodDone, *a.done)
+		a.notify(wire.MethodDone, *a.done)
 	}
 }
 
-// revoke ends the attempt and reports whether it certainly did not run. One
-// that runs is stopped only if it may be repeated.
+// revoke ends the attempt and reports whether it certainly did not run. A running
+// one is canceled only if it may be repeated: a generation or an idempotent call.
 func (a *Attempt) revoke() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	refused := fault.NotRun(fault.Revoked, "attempt %s was revoked", a.Run.Attempt)
 	switch a.phase {
 	case pending:
-		a.finish(wire.Done{Refusal: refused})
+		a.finishLocked(wire.Done{Refusal: refused})
 		a.cancel(refused)
 		return true
 	case running:
@@ -146,37 +150,37 @@
 	return a.done.Refusal != nil && a.done.Refusal.NotRun
 }
 
-// settled reports whether the attempt has ended and its answer need not be kept.
-func (a *Attempt) settled(now time.Time) bool {
+// removable reports whether the attempt has ended and its answer need not be kept.
+func (a *Attempt) removable(now time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.phase == ended && (a.acked || now.After(a.Deadline.Add(keepPast)))
+	return a.phase == ended && (a.acked || now.After(a.Deadline.Add(answerRetention)))
 }
 
-// acknowledge drops the answer.
+// acknowledge detaches the entry and releases the answer, which the entry has received.
 func (a *Attempt) acknowledge() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.acked = true
 	a.conn = nil
-	a.drop()
+	a.releaseBuffers()
 }
 
-// drop forgets the kept bytes.
-func (a *Attempt) drop() {
-	a.held.Add(-int64(a.bytes + len(a.Body)))
-	a.pieces, a.Body, a.bytes = nil, nil, 0
+// releaseBuffers releases the body and the answer. The caller holds the lock.
+func (a *Attempt) releaseBuffers() {
+	a.heldBytes.Add(-int64(a.answerBytes + len(a.Body)))
+	a.pieces, a.Body, a.answerBytes = nil, nil, 0
 }
 
-// CutOff ends an attempt because its agent stops: one that did not run is
-// refused as such, one that runs ends with an honest failure.
+// CutOff ends an attempt because its agent stops: a pending one is refused as
+// not run, a running one is canceled and ends as failed.
 func (a *Attempt) CutOff() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	switch a.phase {
 	case pending:
 		refused := fault.NotRun(fault.Draining, "the agent stops before attempt %s began", a.Run.Attempt)
-		a.finish(wire.Done{Refusal: refused})
+		a.finishLocked(wire.Done{Refusal: refused})
 		a.cancel(refused)
 	case running:
 		a.cancel(fault.Failed(fault.Draining, "the agent stops while attempt %s runs", a.Run.Attempt))
--- a/internal/agent/tries/doc.go
+++ b/internal/agent/tries/doc.go
@@ -1,2 +1,3 @@
-// Package tries keeps an agent's attempts: which ran, which were revoked, and the answers not yet acknowledged.
+// Package tries is the registry of an agent's attempts: which ran, which were
+// revoked, and the answers that are not yet acknowledged.
 package tries
--- a/internal/agent/tries/registry.go
+++ b/internal/agent/tries/registry.go
@@ -14,22 +14,23 @@
 )
 
 const (
-	// keepPast is how long an answer is kept past its deadline for an entry that asks late.
-	keepPast = 2 * time.Second
-	// rememberFor is how long ids of ended and revoked attempts are remembered.
-	rememberFor = 10 * time.Minute
-	// partsFor is how long a body waits for its Run.
-	partsFor = 30 * time.Second
-	// maxHeld bounds the bytes of bodies and kept answers.
-	maxHeld = 48 << 20
-	// maxBody bounds one request's body.
-	maxBody     = 8 << 20
-	sweepPeriod = 5 * time.Second
+	// answerRetention is how long an answer is kept past its deadline for an entry that sends its Run again late.
+	answerRetention = 2 * time.Second
+	// tombstoneRetention is how long the ids of ended and revoked attempts are remembered.
+	tombstoneRetention = 10 * time.Minute
+	// bodyRetention is how long a body is kept while its Run has not arrived.
+	bodyRetention = 30 * time.Second
+	// maxHeldBytes bounds the bytes of bodies and kept answers.
+	maxHeldBytes = 48 << 20
+	// maxBodyBytes bounds one request's body.
+	maxBodyBytes = 8 << 20
+	sweepPeriod  = 5 * time.Second
 )
 
+// body is a request's body whose Run has not arrived yet.
 type body struct {
-	data []byte
-	at   time.Time
+	data        []byte
+	firstPartAt time.Time
 }
 
 // Registry holds an agent's attempts by id.
@@ -37,70 +38,74 @@
 	mu       sync.Mutex
 	attempts map[string]*Attempt
 	bodies   map[string]*body
-	// held sums the bytes of bodies and kept answers.
-	held atomic.Int64
-	// past remembers attempts that are gone; the value says whether one can have run.
-	past map[string]memory
+	// heldBytes sums the bytes of bodies and kept answers.
+	heldBytes atomic.Int64
+	// tombstones are the removed attempts, and those revoked before their Run arrived, by id.
+	tombstones map[string]tombstone
 }
 
-type memory struct {
-	ran bool
-	at  time.Time
+// tombstone records whether a removed attempt may have run.
+type tombstone struct {
+	mayHaveRun bool
+	recordedAt time.Time
 }
 
 // NewRegistry returns an empty registry.
 func NewRegistry() *Registry {
-	return &Registry{attempts: map[string]*Attempt{}, bodies: map[string]*body{}, past: map[string]memory{}}
+	return &Registry{attempts: map[string]*Attempt{}, bodies: map[string]*body{}, tombstones: map[string]tombstone{}}
 }
 
-// Part adds a piece to a request's body.
-func (r *Registry) Part(p wire.Part) {
+// AddPart adds a part to a request's body. A part that is out of order or exceeds
+// the limits is dropped; Open then refuses the attempt.
+func (r *Registry) AddPart(p wire.Part) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	b, ok := r.bodies[p.Attempt]
 	if !ok {
-		b = &body{at: time.Now()}
+		b = &body{firstPartAt: time.Now()}
 		r.bodies[p.Attempt] = b
 	}
 	if p.Offset == 0 {
-		r.held.Add(-int64(len(b.data)))
+		r.heldBytes.Add(-int64(len(b.data)))
 		b.data = nil
 	}
-	if p.Offset != len(b.data) || len(b.data)+len(p.Data) > maxBody || r.full() {
+	if p.Offset != len(b.data) || len(b.data)+len(p.Data) > maxBodyBytes || r.isFull() {
 		return
 	}
 	b.data = append(b.data, p.Data...)
-	r.held.Add(int64(len(p.Data)))
+	r.heldBytes.Add(int64(len(p.Data)))
 }
 
-// Open returns the attempt of a Run, attached to the connection; fresh is true if it is new and must be executed.
+// Open returns the attempt of a Run, attached to the connection; fresh is true if
+// it is new and must be executed. An error is a refusal.
 func (r *Registry) Open(c *peer.Conn, run wire.Run) (a *Attempt, fresh bool, err error) {
-	a, fresh, err = r.open(c, run)
+	a, fresh, err = r.findOrAdd(c, run)
 	if err == nil && !fresh {
 		a.attach(c, run.From)
 	}
 	return a, fresh, err
 }
 
-func (r *Registry) open(c *peer.Conn, run wire.Run) (*Attempt, bool, error) {
+// findOrAdd returns the attempt of a Run and whether it was added.
+func (r *Registry) findOrAdd(c *peer.Conn, run wire.Run) (*Attempt, bool, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	b := r.bodies[run.Attempt]
 	delete(r.bodies, run.Attempt)
 	if b != nil {
-		r.held.Add(-int64(len(b.data)))
+		r.heldBytes.Add(-int64(len(b.data)))
 	}
 	if a, ok := r.attempts[run.Attempt]; ok {
 		return a, false, nil
 	}
-	if m, ok := r.past[run.Attempt]; ok {
-		return nil, false, &fault.Refusal{Code: fault.Revoked, Message: "attempt " + run.Attempt + " is over", NotRun: !m.ran}
+	if m, ok := r.tombstones[run.Attempt]; ok {
+		return nil, false, &fault.Refusal{Code: fault.Revoked, Message: "attempt " + run.Attempt + " is over", NotRun: !m.mayHaveRun}
 	}
 	if run.Remaining <= 0 {
 		return nil, false, fault.NotRun(fault.DeadlineExceeded, "attempt %s came after its deadline", run.Attempt)
 	}
-	if r.full() {
-		return nil, false, fault.NotRun(fault.Overloaded, "the agent keeps %d bytes of requests and answers", r.held.Load())
+	if r.isFull() {
+		return nil, false, fault.NotRun(fault.Overloaded, "the agent keeps %d bytes of requests and answers", r.heldBytes.Load())
 	}
 	var data []byte
 	if b != nil {
@@ -110,8 +115,8 @@
 		return nil, false, fault.NotRun(fault.Overloaded, "body of attempt %s has %d of %d bytes", run.Attempt, len(data), run.BodyBytes)
 	}
 	a := newAttempt(c, run, data)
-	a.held = &r.held
-	r.held.Add(int64(len(data)))
+	a.heldBytes = &r.heldBytes
+	r.heldBytes.Add(int64(len(data)))
 	r.attempts[run.Attempt] = a
 	return a, true, nil
 }
@@ -130,17 +135,17 @@
 	a, ok := r.attempts[id]
 	if !ok {
 		defer r.mu.Unlock()
-		m, known := r.past[id]
+		m, known := r.tombstones[id]
 		if !known {
-			r.past[id] = memory{at: time.Now()}
+			r.tombstones[id] = tombstone{recordedAt: time.Now()}
 		}
-		return !m.ran
+		return !m.mayHaveRun
 	}
 	r.mu.Unlock()
 	return a.revoke()
 }
 
-// Ack drops an attempt's answer.
+// Ack releases an attempt's answer, which the entry has received.
 func (r *Registry) Ack(id string) {
 	r.mu.Lock()
 	a := r.attempts[id]
@@ -151,9 +156,9 @@
 	a.acknowledge()
 }
 
-// full reports whether bodies and kept answers take all the memory they may.
-func (r *Registry) full() bool {
-	return r.held.Load() > maxHeld
+// isFull reports whether bodies and kept answers exceed maxHeldBytes.
+func (r *Registry) isFull() bool {
+	return r.heldBytes.Load() > maxHeldBytes
 }
 
 // Active returns the attempts that have not ended.
@@ -171,56 +176,57 @@
 	return out
 }
 
-// Awaited returns the number of attempts that run or whose answer may yet be collected.
+// Awaited returns the number of attempts that have not ended or whose answer may still be acknowledged.
 func (r *Registry) Awaited() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n, now := 0, time.Now()
 	for _, a := range r.attempts {
-		if a.awaited(now) {
+		if a.isAwaited(now) {
 			n++
 		}
 	}
 	return n
 }
 
-// Sweep forgets what is past its time, until the context ends.
+// Sweep removes expired attempts, bodies and tombstones every sweepPeriod until the context ends.
 func (r *Registry) Sweep(ctx context.Context) {
 	tick := time.NewTicker(sweepPeriod)
 	defer tick.Stop()
 	for {
 		select {
 		case now := <-tick.C:
-			r.sweep(now)
+			r.removeExpired(now)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (r *Registry) sweep(now time.Time) {
+// removeExpired removes what has expired at now.
+func (r *Registry) removeExpired(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for id, a := range r.attempts {
-		if !a.settled(now) {
+		if !a.removable(now) {
 			continue
 		}
 		a.mu.Lock()
-		ran := a.done.Refusal == nil || !a.done.Refusal.NotRun
-		a.drop()
+		mayHaveRun := a.done.Refusal == nil || !a.done.Refusal.NotRun
+		a.releaseBuffers()
 		a.mu.Unlock()
 		delete(r.attempts, id)
-		r.past[id] = memory{ran: ran, at: now}
+		r.tombstones[id] = tombstone{mayHaveRun: mayHaveRun, recordedAt: now}
 	}
 	for id, b := range r.bodies {
-		if now.Sub(b.at) > partsFor {
-			r.held.Add(-int64(len(b.data)))
+		if now.Sub(b.firstPartAt) > bodyRetention {
+			r.heldBytes.Add(-int64(len(b.data)))
 			delete(r.bodies, id)
 		}
 	}
-	for id, m := range r.past {
-		if now.Sub(m.at) > rememberFor {
-			delete(r.past, id)
+	for id, m := range r.tombstones {
+		if now.Sub(m.recordedAt) > tombstoneRetention {
+			delete(r.tombstones, id)
 		}
 	}
 }
--- a/internal/agent/work/model.go
+++ b/internal/agent/work/model.go
@@ -12,12 +12,12 @@
 	"foxtailcroft/internal/link/wire"
 )
 
-// maxEngineTries bounds the generations that one attempt starts on its engine.
-const maxEngineTries = 2
+// maxGenerations bounds the generations that one attempt starts on its engine.
+const maxGenerations = 2
 
-// generate runs a model's attempt.
+// generate runs an attempt on the model engine.
 func (w *Worker) generate(ctx context.Context, a *tries.Attempt) wire.Done {
-	began := time.Now()
+	startedAt := time.Now()
 	grant, err := w.Slots.Acquire(ctx, slots.Request{
 		Model: a.Run.Model, Adapter: a.Run.Adapter, Class: a.Run.Class, Deadline: a.Deadline, Final: a.Run.Final,
 	})
@@ -28,61 +28,65 @@
 	if !a.Begin() {
 		return wire.Done{Refusal: fault.NotRun(fault.Revoked, "attempt %s was revoked", a.Run.Attempt)}
 	}
-	s := &stream{attempt: a, began: began, next: a.Run.Resume.Tokens, prefix: a.Run.Resume.Text}
-	finish, err := w.stream(ctx, a, grant, s)
-	d := wire.Done{Finish: finish, Cold: grant.Cold, Wait: s.first}
+	s := &answerStream{attempt: a, startedAt: startedAt, nextIndex: a.Run.Resume.Tokens, text: a.Run.Resume.Text}
+	finish, err := w.streamTokens(ctx, a, grant, s)
+	d := wire.Done{Finish: finish, Cold: grant.Cold, Wait: s.timeToFirstToken}
 	if err != nil {
-		d.Refusal = refusalOf(ctx, err, s)
+		d.Refusal = generationRefusal(ctx, err, s)
 	}
 	return d
 }
 
-// stream is the state of an answer that may take more than one generation.
-type stream struct {
-	attempt *tries.Attempt
-	began   time.Time
-	first   time.Duration
-	next    int
-	prefix  string
+// answerStream is the state of an answer that may take more than one generation.
+type answerStream struct {
+	attempt          *tries.Attempt
+	startedAt        time.Time
+	timeToFirstToken time.Duration
+	// nextIndex is the index of the next token, text the answer before it.
+	nextIndex int
+	text      string
 }
 
-func (s *stream) token(t engine.Token) error {
-	if s.first == 0 {
-		s.first = time.Since(s.began)
+// emitToken adds a generated token to the attempt's answer.
+func (s *answerStream) emitToken(t engine.Token) error {
+	if s.timeToFirstToken == 0 {
+		s.timeToFirstToken = time.Since(s.startedAt)
 	}
 	s.attempt.Emit(1, []byte(t.Text), nil)
-	s.next = t.Index + 1
-	s.prefix += t.Text
+	s.nextIndex = t.Index + 1
+	s.text += t.Text
 	return nil
 }
 
-// stream generates, continuing once on the same engine if a stream breaks.
-func (w *Worker) stream(ctx context.Context, a *tries.Attempt, grant slots.Grant, s *stream) (string, error) {
+// streamTokens runs the generation, which is resumed once on the same engine if
+// the stream breaks, and returns the finish reason.
+func (w *Worker) streamTokens(ctx context.Context, a *tries.Attempt, grant slots.Grant, s *answerStream) (string, error) {
 	for try := 1; ; try++ {
 		finish, err := w.Engine.Generate(ctx, engine.Request{
-			Item: grant.Item, Body: a.Body, Priority: a.Run.Class.Rank(), SkipTokens: s.next, Prefix: s.prefix,
-		}, s.token)
+			Item: grant.Item, Body: a.Body, Priority: a.Run.Class.Rank(), SkipTokens: s.nextIndex, Prefix: s.text,
+		}, s.emitToken)
 		var broken *engine.Broken
-		if err == nil || ctx.Err() != nil || try == maxEngineTries || !errors.As(err, &broken) {
+		if err == nil || ctx.Err() != nil || try == maxGenerations || !errors.As(err, &broken) {
 			return finish, err
 		}
 	}
 }
 
-// refusalOf words a generation's failure; a generation that delivered nothing and was rejected did not run.
-func refusalOf(ctx context.Context, err error, s *stream) *fault.Refusal {
+// generationRefusal returns the refusal for a failed generation. One that was
+// rejected before its first token, or found its item not loaded, did not run.
+func generationRefusal(ctx context.Context, err error, s *answerStream) *fault.Refusal {
 	var rejected *engine.Rejected
-	var missing *engine.NotLoaded
+	var notLoaded *engine.NotLoaded
 	var refusal *fault.Refusal
 	switch {
 	case errors.As(context.Cause(ctx), &refusal):
 		return refusal
-	case errors.As(err, &rejected) && s.next == s.attempt.Run.Resume.Tokens:
+	case errors.As(err, &rejected) && s.nextIndex == s.attempt.Run.Resume.Tokens:
 		return fault.NotRun(fault.BadRequest, "%v", rejected)
-	case errors.As(err, &missing):
-		return fault.NotRun(fault.EngineFailed, "%v", missing)
+	case errors.As(err, &notLoaded):
+		return fault.NotRun(fault.EngineFailed, "%v", notLoaded)
 	case ctx.Err() != nil:
-		return fault.Failed(fault.DeadlineExceeded, "the answer was not complete at the deadline after %d tokens", s.next)
+		return fault.Failed(fault.DeadlineExceeded, "the answer was not complete at the deadline after %d tokens", s.nextIndex)
 	}
 	return fault.Failed(fault.EngineFailed, "%v", err)
 }
--- a/internal/agent/work/plain.go
+++ b/internal/agent/work/plain.go
@@ -15,20 +15,20 @@
 	"foxtailcroft/internal/link/wire"
 )
 
-// call runs a plain service's attempt.
-func (w *Worker) call(ctx context.Context, a *tries.Attempt) wire.Done {
-	began := time.Now()
+// callService runs an attempt on the plain service.
+func (w *Worker) callService(ctx context.Context, a *tries.Attempt) wire.Done {
+	startedAt := time.Now()
 	if a.Run.Key != "" && !a.Run.Plain.Idempotent {
-		return w.callClaimed(ctx, a, began)
+		return w.callWithKey(ctx, a, startedAt)
 	}
 	answer, refusal := w.dispatch(ctx, a)
 	if refusal != nil {
 		return wire.Done{Refusal: refusal}
 	}
-	return emit(a, answer, began)
+	return emitAnswer(a, answer, startedAt)
 }
 
-// dispatch waits for a place and makes the call once, unless the attempt was revoked.
+// dispatch waits until the call may run and makes it once, unless the attempt was revoked.
 func (w *Worker) dispatch(ctx context.Context, a *tries.Attempt) (plain.Answer, *fault.Refusal) {
 	release, err := w.Gate.Acquire(ctx, a.Run.Class, a.Deadline)
 	if err != nil {
@@ -42,69 +42,71 @@
 	answer, err := w.Plain.Do(ctx, plain.Call{
 		Method: p.Method, Path: p.Path, Query: p.Query, Header: p.Header, Body: a.Body, Idempotent: p.Idempotent,
 	})
-	var unsent *plain.NotSent
+	var notSent *plain.NotSent
 	switch {
 	case err == nil:
 		return answer, nil
-	case errors.As(err, &unsent):
+	case errors.As(err, &notSent):
 		return answer, fault.NotRun(fault.EngineFailed, "service %q: %v", a.Run.Service, err)
 	}
 	return answer, fault.Failed(fault.Unsettled, "service %q: %v", a.Run.Service, err)
 }
 
-func emit(a *tries.Attempt, answer plain.Answer, began time.Time) wire.Done {
-	first := time.Since(began)
+// emitAnswer emits a whole answer in pieces and returns the attempt's Done message.
+func emitAnswer(a *tries.Attempt, answer plain.Answer, startedAt time.Time) wire.Done {
+	wait := time.Since(startedAt)
 	head := &wire.PlainHead{Status: answer.Status, Header: answer.Header}
 	for data := answer.Body; ; {
 		n := min(len(data), wire.PartBytes)
 		a.Emit(0, data[:n], head)
 		head, data = nil, data[n:]
 		if len(data) == 0 {
-			return wire.Done{Wait: first}
+			return wire.Done{Wait: wait}
 		}
 	}
 }
 
-// callClaimed runs a call under its idempotency key.
-func (w *Worker) callClaimed(ctx context.Context, a *tries.Attempt, began time.Time) wire.Done {
+// callWithKey runs a call under its idempotency key: it dispatches the call,
+// replays the answer of an earlier one, or refuses it.
+func (w *Worker) callWithKey(ctx context.Context, a *tries.Attempt, startedAt time.Time) wire.Done {
 	log := w.claimLog(a.Run.Plain.Partition)
-	if s := w.owner(a.Run.Plain.Partition); s.Endpoint != w.Self.Name {
-		return wire.Done{Refusal: fault.NotRun(fault.Deposed, "partition %d of service %q belongs to endpoint %q", a.Run.Plain.Partition, a.Run.Service, s.Endpoint).WithEndpoint(s.Endpoint)}
+	if owner := w.partitionOwner(a.Run.Plain.Partition); owner.Endpoint != w.Self.Name {
+		return wire.Done{Refusal: fault.NotRun(fault.Deposed, "partition %d of service %q belongs to endpoint %q", a.Run.Plain.Partition, a.Run.Service, owner.Endpoint).WithEndpoint(owner.Endpoint)}
 	}
-	out, err := log.Claim(ctx, a.Run.Key, digestOf(a))
+	out, err := log.Claim(ctx, a.Run.Key, callDigest(a))
 	if err != nil {
 		return wire.Done{Refusal: fault.Of(err)}
 	}
 	switch out.State {
-	case claim.Other:
+	case claim.Mismatch:
 		return wire.Done{Refusal: fault.NotRun(fault.KeyReused, "idempotency key %q was used for a different call", a.Run.Key)}
-	case claim.Done:
-		d := emit(a, out.Answer.(plain.Answer), began)
+	case claim.Completed:
+		d := emitAnswer(a, out.Answer.(plain.Answer), startedAt)
 		d.Replayed = true
 		return d
-	case claim.New:
-		return w.dispatchClaimed(ctx, a, log, began)
+	case claim.Dispatchable:
+		return w.dispatchClaimed(ctx, a, log, startedAt)
 	}
 	return wire.Done{Refusal: fault.Failed(fault.Unsettled, "an earlier call with idempotency key %q has an unknown outcome", a.Run.Key)}
 }
 
-// dispatchClaimed makes the call of a fresh key and records what became of it.
-func (w *Worker) dispatchClaimed(ctx context.Context, a *tries.Attempt, log *claim.Log, began time.Time) wire.Done {
+// dispatchClaimed makes the call of a newly claimed key and records its outcome in the claim log.
+func (w *Worker) dispatchClaimed(ctx context.Context, a *tries.Attempt, log *claim.Log, startedAt time.Time) wire.Done {
 	answer, refusal := w.dispatch(ctx, a)
 	switch {
 	case refusal == nil:
-		log.Settle(a.Run.Key, claim.Outcome{State: claim.Done, Answer: answer})
-		return emit(a, answer, began)
+		log.Settle(a.Run.Key, claim.Outcome{State: claim.Completed, Answer: answer})
+		return emitAnswer(a, answer, startedAt)
 	case refusal.NotRun:
-		log.Settle(a.Run.Key, claim.Outcome{State: claim.New})
+		log.Settle(a.Run.Key, claim.Outcome{State: claim.Dispatchable})
 	default:
 		log.Settle(a.Run.Key, claim.Outcome{State: claim.Unknown})
 	}
 	return wire.Done{Refusal: refusal}
 }
 
-// owner returns the slot that owns a claim partition.
-func (w *Worker) owner(partition int) plan.Slot {
+// partitionOwner returns the slot that owns a claim partition; zero if the plan has no such partition.
+func (w *Worker) partitionOwner(partition int) plan.Slot {
 	owners := w.Holder.View().Plan(plan.ClaimKey(w.Self.Service)).Slots
 	if partition >= len(owners) {
 		return plan.Slot{}
@@ -112,10 +114,11 @@
 	return owners[partition]
 }
 
+// claimLog returns the claim log of a partition, creating it if needed.
 func (w *Worker) claimLog(partition int) *claim.Log {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if l := w.claims[partition]; l != nil {
+	if l := w.claimLogs[partition]; l != nil {
 		return l
 	}
 	var retention time.Duration
@@ -123,28 +126,28 @@
 		retention = res.Service.ClaimRetention.Std()
 	}
 	l, stop := claim.NewLog(w.Store, w.Self.Service, partition, w.Self.Name, w.Incarnation, retention)
-	if w.claims == nil {
-		w.claims = map[int]*claim.Log{}
+	if w.claimLogs == nil {
+		w.claimLogs = map[int]*claim.Log{}
 	}
-	w.claims[partition] = l
-	w.stops = append(w.stops, stop)
+	w.claimLogs[partition] = l
+	w.stopFuncs = append(w.stopFuncs, stop)
 	return l
 }
 
-// Expire forgets idempotency keys past their retention.
+// Expire removes idempotency keys past their retention.
 func (w *Worker) Expire(now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, l := range w.claims {
+	for _, l := range w.claimLogs {
 		l.Expire(now)
 	}
 }
 
-// digestOf identifies a call, so that a key used for another call is noticed.
-func digestOf(a *tries.Attempt) uint64 {
+// callDigest returns a hash of the call, by which the reuse of a key for a different call is detected.
+func callDigest(a *tries.Attempt) uint64 {
 	d := xxhash.New()
 	for _, part := range []string{a.Run.Plain.Method, a.Run.Plain.Path, a.Run.Plain.Query, string(a.Body)} {
-		// A hash never fails to take bytes.
+		// Writing to a hash never fails.
 		_, _ = d.WriteString(part)
 		_, _ = d.Write([]byte{0})
 	}
--- a/internal/agent/work/work.go
+++ b/internal/agent/work/work.go
@@ -29,113 +29,114 @@
 	Self     plan.Node
 	Holder   *view.Holder
 	Registry *tries.Registry
-	// Incarnation tells this process from the others that had its name.
+	// Incarnation distinguishes this process from earlier ones with the same name.
 	Incarnation int64
 	Log         *zap.Logger
-	// Slots and Engine are set where a model engine stands behind the agent.
+	// Slots and Engine are set if the agent's back end is a model engine.
 	Slots  *slots.Manager
 	Engine engine.Engine
-	// Gate, Plain and Store are set where a plain service does.
+	// Gate, Plain and Store are set if it is a plain service.
 	Gate  *gate.Gate
 	Plain plain.Service
 	Store store.Store
 
-	group    crew.Group
-	draining atomic.Bool
-	mu       sync.Mutex
-	claims   map[int]*claim.Log
-	stops    []func()
+	group     crew.Group
+	draining  atomic.Bool
+	mu        sync.Mutex
+	claimLogs map[int]*claim.Log
+	stopFuncs []func()
 }
 
-// Register adds the worker's calls to a mux.
+// Register adds the handlers of the worker's messages to a mux.
 func (w *Worker) Register(mux *peer.Mux) {
-	peer.OnNote(mux, wire.MethodPart, func(_ *peer.Conn, p wire.Part) { w.Registry.Part(p) })
+	peer.OnNote(mux, wire.MethodPart, func(_ *peer.Conn, p wire.Part) { w.Registry.AddPart(p) })
 	peer.OnNote(mux, wire.MethodAck, func(_ *peer.Conn, a wire.Ack) { w.Registry.Ack(a.Attempt) })
-	peer.OnCall(mux, wire.MethodRun, w.run)
+	peer.OnCall(mux, wire.MethodRun, w.handleRun)
 	peer.OnCall(mux, wire.MethodRevoke, func(_ context.Context, _ *peer.Conn, r wire.Revoke) (wire.RevokeReply, error) {
 		return wire.RevokeReply{NotRun: w.Registry.Revoke(r.Attempt) && r.Epoch == w.Incarnation}, nil
 	})
 }
 
-// Drain refuses new work from now on.
+// Drain refuses new attempts from now on.
 func (w *Worker) Drain() {
 	w.draining.Store(true)
 }
 
-// Draining reports whether new work is refused.
+// Draining reports whether new attempts are refused.
 func (w *Worker) Draining() bool {
 	return w.draining.Load()
 }
 
-// Close waits for the attempts under way and stops the claim logs.
+// Close waits for the running attempts and stops the claim logs.
 func (w *Worker) Close() {
 	w.group.Close()
 	w.mu.Lock()
-	stops := w.stops
+	stops := w.stopFuncs
 	w.mu.Unlock()
 	for _, stop := range stops {
 		stop()
 	}
 }
 
-// catchUpTimeout bounds the wait for configuration that a caller already acts on.
+// catchUpTimeout bounds the pull of a newer configuration that the caller already uses.
 const catchUpTimeout = time.Second
 
-// run accepts or refuses an attempt; what becomes of an accepted one follows as Piece and Done.
-func (w *Worker) run(ctx context.Context, c *peer.Conn, run wire.Run) (wire.RunReply, error) {
+// handleRun accepts or refuses an attempt; the answer of an accepted one follows
+// as Piece and Done messages.
+func (w *Worker) handleRun(ctx context.Context, c *peer.Conn, run wire.Run) (wire.RunReply, error) {
 	if run.Resent && run.Epoch != w.Incarnation {
-		return w.reply(run, fault.Failed(fault.EndpointLost, "endpoint %q has restarted since attempt %s was sent", w.Self.Name, run.Attempt)), nil
+		return w.runReply(run, fault.Failed(fault.EndpointLost, "endpoint %q has restarted since attempt %s was sent", w.Self.Name, run.Attempt)), nil
 	}
 	if run.Revision > w.Holder.View().Revision() {
 		w.catchUp(ctx, c)
 	}
 	if w.draining.Load() && !run.Resent {
-		return w.reply(run, fault.NotRun(fault.Draining, "endpoint %q is leaving", w.Self.Name)), nil
+		return w.runReply(run, fault.NotRun(fault.Draining, "endpoint %q is leaving", w.Self.Name)), nil
 	}
 	a, fresh, err := w.Registry.Open(c, run)
 	if err != nil {
-		return w.reply(run, fault.Of(err)), nil
+		return w.runReply(run, fault.Of(err)), nil
 	}
 	if fresh && !w.group.Go(func() { w.execute(a) }) {
 		a.CutOff()
 	}
-	return w.reply(run, nil), nil
+	return w.runReply(run, nil), nil
 }
 
-func (w *Worker) reply(run wire.Run, refusal *fault.Refusal) wire.RunReply {
-	return wire.RunReply{Refusal: refusal, Load: w.load(run), Revision: w.Holder.View().Revision(), Epoch: w.Incarnation}
+func (w *Worker) runReply(run wire.Run, refusal *fault.Refusal) wire.RunReply {
+	return wire.RunReply{Refusal: refusal, Load: w.currentLoad(run), Revision: w.Holder.View().Revision(), Epoch: w.Incarnation}
 }
 
-// catchUp pulls the configuration that the sender of a message acts on.
+// catchUp pulls the configuration from the sender of a message, which uses a newer revision.
 func (w *Worker) catchUp(ctx context.Context, c *peer.Conn) {
 	ctx, cancel := context.WithTimeout(ctx, catchUpTimeout)
 	defer cancel()
 	if err := spread.Pull(ctx, c, w.Holder, spread.Pulled{}); err != nil {
-		w.Log.Info("catching up failed", zap.String("From", c.Remote().Node), zap.Error(err))
+		w.Log.Info("pulling a newer configuration from the caller failed; continuing with the old one", zap.String("From", c.Remote().Node), zap.Error(err))
 	}
 }
 
-func (w *Worker) load(run wire.Run) wire.Load {
+func (w *Worker) currentLoad(run wire.Run) wire.Load {
 	if w.Gate != nil {
 		return w.Gate.Load()
 	}
 	return w.Slots.ReplicaLoad(run.Model)
 }
 
-// execute runs a fresh attempt to its end.
+// execute runs a new attempt to its end.
 func (w *Worker) execute(a *tries.Attempt) {
 	ctx, cancel := context.WithDeadline(a.Ctx, a.Deadline)
 	defer cancel()
 	var d wire.Done
 	switch {
 	case a.Run.Service != "" && w.Gate != nil && a.Run.Service == w.Self.Service:
-		d = w.call(ctx, a)
+		d = w.callService(ctx, a)
 	case a.Run.Service == "" && w.Slots != nil:
 		d = w.generate(ctx, a)
 	default:
 		d.Refusal = fault.NotRun(fault.NoSlot, "endpoint %q does not serve %q", w.Self.Name, a.Run.Service+a.Run.Model)
 	}
-	d.Load = w.load(a.Run)
+	d.Load = w.currentLoad(a.Run)
 	d.Revision = w.Holder.View().Revision()
 	a.Finish(d)
 }
