--- a/internal/agent/gate/doc.go
+++ b/internal/agent/gate/doc.go
@@ -1,2 +1,2 @@
-// Package gate bounds the calls that run at once on a plain service's endpoint.
+// Package gate limits the number of concurrent calls at a plain service's endpoint.
 package gate
--- a/internal/agent/gate/gate.go
+++ b/internal/agent/gate/gate.go
@@ -12,110 +12,112 @@
 	"foxtailcroft/internal/policy/pick"
 )
 
-// Gate lets calls run up to a capacity and queues the others by class.
+// Gate limits the number of concurrent calls and queues the others by class.
 type Gate struct {
 	service string
 
-	mu       sync.Mutex
-	capacity int
-	running  int
-	patient  int
-	waiting  queue.Queue
-	mean     time.Duration
+	mu              sync.Mutex
+	capacity        int
+	running         int
+	patientRunning  int
+	queued          queue.Queue
+	meanServiceTime time.Duration
 }
 
-// New returns a gate that lets nothing run until SetCapacity.
+// New returns a gate with capacity 0: no call runs until SetCapacity is called.
 func New(service string) *Gate {
 	return &Gate{service: service}
 }
 
-// SetCapacity changes how many calls run at once.
+// SetCapacity sets the maximum number of concurrent calls.
 func (g *Gate) SetCapacity(n int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.capacity = n
-	g.pump()
+	g.startQueued()
 }
 
-// Load returns what the agent tells of the service with its replies.
+// Load returns the load of the service that the agent sends with its replies.
 func (g *Gate) Load() wire.Load {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.load()
+	return g.loadLocked()
 }
 
-func (g *Gate) load() wire.Load {
-	return wire.Load{Loaded: true, Running: g.running, Queued: g.waiting.Len(), Capacity: g.capacity, Service: g.mean}
+func (g *Gate) loadLocked() wire.Load {
+	return wire.Load{Loaded: true, Running: g.running, Queued: g.queued.Len(), Capacity: g.capacity, Service: g.meanServiceTime}
 }
 
-// Acquire waits for a place; its errors are refusals of calls that did not run.
+// Acquire waits until the call may run; release ends it. An error is the refusal
+// of a call that did not run.
 func (g *Gate) Acquire(ctx context.Context, class kinds.Class, deadline time.Time) (release func(), err error) {
-	ready := make(chan error, 1)
-	t := &queue.Ticket{Class: class, Deadline: deadline, Ready: func(refusal error) { ready <- refusal }}
-	if err := g.push(t); err != nil {
+	result := make(chan error, 1)
+	w := &queue.Waiter{Class: class, Deadline: deadline, Resolve: func(refusal error) { result <- refusal }}
+	if err := g.enqueue(w); err != nil {
 		return nil, err
 	}
 	select {
-	case <-ready:
-		return g.releaser(class), nil
+	case <-result:
+		return g.newRelease(class), nil
 	case <-ctx.Done():
 	}
 	g.mu.Lock()
-	waiting := g.waiting.Remove(t)
+	wasQueued := g.queued.Remove(w)
 	g.mu.Unlock()
-	if !waiting {
-		g.releaser(class)()
+	if !wasQueued {
+		g.newRelease(class)()
 	}
 	return nil, fault.NotRun(fault.DeadlineExceeded, "no place at service %q came free in time", g.service)
 }
 
-// push admits a call to the queue.
-func (g *Gate) push(t *queue.Ticket) error {
+// enqueue adds a call to the queue, or refuses it if the queue is full or the
+// call is forecast to miss its deadline.
+func (g *Gate) enqueue(w *queue.Waiter) error {
 	now := time.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	l := g.load()
+	l := g.loadLocked()
 	wait := pick.Forecast(pick.Replica{Loaded: true, Running: l.Running, Queued: l.Queued, Capacity: l.Capacity, Service: l.Service})
-	if !pick.InTime(wait, l.Service, t.Deadline.Sub(now)) {
+	if !pick.InTime(wait, l.Service, w.Deadline.Sub(now)) {
 		return fault.NotRun(fault.DeadlineTooSoon, "service %q is expected to answer in %s", g.service, (wait + l.Service).Round(time.Millisecond)).WithRetryAfter(wait)
 	}
-	if !g.waiting.Push(t, now) {
-		return fault.NotRun(fault.Overloaded, "%d calls wait for service %q", queue.Limit, g.service).WithRetryAfter(wait)
+	if !g.queued.Push(w, now) {
+		return fault.NotRun(fault.Overloaded, "%d calls wait for service %q", queue.MaxWaiting, g.service).WithRetryAfter(wait)
 	}
-	g.pump()
+	g.startQueued()
 	return nil
 }
 
-// pump lets waiting calls run.
-func (g *Gate) pump() {
+// startQueued starts queued calls as far as the capacity allows. The caller holds the lock.
+func (g *Gate) startQueued() {
 	for {
-		t := g.waiting.Pop(func(t *queue.Ticket) bool { return queue.Fits(t.Class, g.running, g.patient, g.capacity) })
-		if t == nil {
+		w := g.queued.Pop(func(w *queue.Waiter) bool { return queue.MayStart(w.Class, g.running, g.patientRunning, g.capacity) })
+		if w == nil {
 			return
 		}
 		g.running++
-		if t.Class == kinds.Patient {
-			g.patient++
+		if w.Class == kinds.Patient {
+			g.patientRunning++
 		}
-		t.Ready(nil)
+		w.Resolve(nil)
 	}
 }
 
-// releaser returns the function that frees a call's place.
-func (g *Gate) releaser(class kinds.Class) func() {
-	began := time.Now()
+// newRelease returns the function that records the end of a call and starts queued ones.
+func (g *Gate) newRelease(class kinds.Class) func() {
+	startedAt := time.Now()
 	return sync.OnceFunc(func() {
-		took := time.Since(began)
+		serviceTime := time.Since(startedAt)
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		g.running--
 		if class == kinds.Patient {
-			g.patient--
+			g.patientRunning--
 		}
-		if g.mean == 0 {
-			g.mean = took
+		if g.meanServiceTime == 0 {
+			g.meanServiceTime = serviceTime
 		}
-		g.mean += (took - g.mean) / 4
-		g.pump()
+		g.meanServiceTime += (serviceTime - g.meanServiceTime) / 4
+		g.startQueued()
 	})
 }
--- a/internal/agent/queue/doc.go
+++ b/internal/agent/queue/doc.go
@@ -1,2 +1,2 @@
-// Package queue holds the requests that wait at an agent, ordered by class without starving any.
+// Package queue holds the requests that wait at an agent, ordered by class without starvation.
 package queue
--- a/internal/agent/queue/queue.go
+++ b/internal/agent/queue/queue.go
@@ -8,15 +8,15 @@
 	"foxtailcroft/internal/core/kinds"
 )
 
-// Limit bounds the requests that wait in one queue.
-const Limit = 1024
+// MaxWaiting bounds the requests that wait in one queue.
+const MaxWaiting = 1024
 
-// patientShare is the share of a replica's places that patient requests may take, in percent.
-const patientShare = 75
+// patientSharePercent is the share of a replica's concurrency that patient requests may use, in percent.
+const patientSharePercent = 75
 
-// headStart is how much later a class's requests are placed than urgent ones
-// that arrived with them; it bounds how long a class can be overtaken.
-func headStart(c kinds.Class) time.Duration {
+// classDelay is how much later than its arrival a request of the class is
+// sorted into the queue. It bounds how long more urgent requests can overtake the class.
+func classDelay(c kinds.Class) time.Duration {
 	switch c {
 	case kinds.Urgent:
 		return 0
@@ -26,72 +26,74 @@
 	return time.Second
 }
 
-// Ticket is one waiting request.
-type Ticket struct {
+// Waiter is one queued request.
+type Waiter struct {
 	Class    kinds.Class
 	Deadline time.Time
-	// Adapter is what the request needs beside its model; empty for nothing.
+	// Adapter is the adapter that the request needs, empty for none.
 	Adapter string
-	// Ready is called once: with nil when the request may run, else with its refusal; it must not block.
-	Ready func(refusal error)
-	place time.Time
+	// Resolve is called once: with nil when the request may run, else with its refusal. It must not block.
+	Resolve func(refusal error)
+	// sortTime is the time of arrival plus the class's delay.
+	sortTime time.Time
 }
 
-// Queue is an ordered list of waiting requests. It is not safe for concurrent use.
+// Queue is a list of waiting requests in the order of their sort times. It is not safe for concurrent use.
 type Queue struct {
-	waiting []*Ticket
+	waiters []*Waiter
 }
 
 // Len returns the number of waiting requests.
 func (q *Queue) Len() int {
-	return len(q.waiting)
+	return len(q.waiters)
 }
 
 // Push adds a request; it reports false if the queue is full.
-func (q *Queue) Push(t *Ticket, now time.Time) bool {
-	if len(q.waiting) >= Limit {
+func (q *Queue) Push(w *Waiter, now time.Time) bool {
+	if len(q.waiters) >= MaxWaiting {
 		return false
 	}
-	t.place = now.Add(headStart(t.Class))
-	at, _ := slices.BinarySearchFunc(q.waiting, t, func(a, b *Ticket) int {
-		return cmp.Or(a.place.Compare(b.place), -1)
+	w.sortTime = now.Add(classDelay(w.Class))
+	index, _ := slices.BinarySearchFunc(q.waiters, w, func(a, b *Waiter) int {
+		return cmp.Or(a.sortTime.Compare(b.sortTime), -1)
 	})
-	q.waiting = slices.Insert(q.waiting, at, t)
+	q.waiters = slices.Insert(q.waiters, index, w)
 	return true
 }
 
-// Remove takes a request out; it reports false if the request was not waiting.
-func (q *Queue) Remove(t *Ticket) bool {
-	at := slices.Index(q.waiting, t)
-	if at < 0 {
+// Remove removes a request; it reports false if the request was not in the queue.
+func (q *Queue) Remove(w *Waiter) bool {
+	index := slices.Index(q.waiters, w)
+	if index < 0 {
 		return false
 	}
-	q.waiting = slices.Delete(q.waiting, at, at+1)
+	q.waiters = slices.Delete(q.waiters, index, index+1)
 	return true
 }
 
-// Pop takes out the first request that ok accepts, or returns nil.
-func (q *Queue) Pop(ok func(*Ticket) bool) *Ticket {
-	for i, t := range q.waiting {
-		if ok(t) {
-			q.waiting = slices.Delete(q.waiting, i, i+1)
-			return t
+// Pop removes and returns the first request for which accept is true, nil if there is none.
+func (q *Queue) Pop(accept func(*Waiter) bool) *Waiter {
+	for i, w := range q.waiters {
+		if accept(w) {
+			q.waiters = slices.Delete(q.waiters, i, i+1)
+			return w
 		}
 	}
 	return nil
 }
 
 // Each calls fn for the waiting requests in order.
-func (q *Queue) Each(fn func(*Ticket)) {
-	for _, t := range q.waiting {
-		fn(t)
+func (q *Queue) Each(fn func(*Waiter)) {
+	for _, w := range q.waiters {
+		fn(w)
 	}
 }
 
-// Fits reports whether a class may take one more place of a replica where patient requests hold some already.
-func Fits(c kinds.Class, running, patient, capacity int) bool {
+// MayStart reports whether a request of the class may start, given the running
+// requests, those of the patient class among them, and the maximum concurrency.
+func MayStart(c kinds.Class, running, patientRunning, capacity int) bool {
 	if running >= capacity {
 		return false
 	}
-	return c != kinds.Patient || patient < max(1, capacity*patientShare/100)
+	return c != kinds.Patient || patientRunning < max(1, capacity*patientSharePercent/100)
 }
--- a/internal/agent/slots/acquire.go
+++ b/internal/agent/slots/acquire.go
@@ -35,14 +35,14 @@
 // Acquire waits until the request may run on the model's replica here, loading
 // the replica if necessary. An error is the refusal of a request that did not run.
 func (m *Manager) Acquire(ctx context.Context, req Request) (Grant, error) {
-	ready := make(chan error, 1)
-	t := &queue.Ticket{Class: req.Class, Deadline: req.Deadline, Adapter: req.Adapter, Ready: func(refusal error) { ready <- refusal }}
-	r, cold, err := m.enqueue(req, t)
+	result := make(chan error, 1)
+	w := &queue.Waiter{Class: req.Class, Deadline: req.Deadline, Adapter: req.Adapter, Resolve: func(refusal error) { result <- refusal }}
+	r, cold, err := m.enqueue(req, w)
 	if err != nil {
 		return Grant{}, err
 	}
 	select {
-	case refusal := <-ready:
+	case refusal := <-result:
 		if refusal != nil {
 			return Grant{}, refusal
 		}
@@ -50,10 +50,10 @@
 	case <-ctx.Done():
 	}
 	m.mu.Lock()
-	waiting := r.queue.Remove(t)
+	wasQueued := r.queue.Remove(w)
 	m.mu.Unlock()
-	if !waiting {
-		if refusal := <-ready; refusal != nil {
+	if !wasQueued {
+		if refusal := <-result; refusal != nil {
 			return Grant{}, refusal
 		}
 		m.newGrant(r, req, cold).Release()
@@ -76,7 +76,7 @@
 
 // enqueue adds an admitted request to the queue of its replica and reports
 // whether it has to wait for a load.
-func (m *Manager) enqueue(req Request, t *queue.Ticket) (*replica, bool, error) {
+func (m *Manager) enqueue(req Request, w *queue.Waiter) (*replica, bool, error) {
 	v := m.holder.View()
 	res, ok := v.Model(req.Model)
 	if !ok {
@@ -92,8 +92,8 @@
 		return nil, false, refusal
 	}
 	r := m.ensureReplica(req.Model, *res.Model)
-	if !r.queue.Push(t, now) {
-		return nil, false, fault.NotRun(fault.Overloaded, "%d requests wait for model %q", queue.Limit, req.Model).WithRetryAfter(r.meanServiceTime)
+	if !r.queue.Push(w, now) {
+		return nil, false, fault.NotRun(fault.Overloaded, "%d requests wait for model %q", queue.MaxWaiting, req.Model).WithRetryAfter(r.meanServiceTime)
 	}
 	r.recordArrival(now, m.expectedLoadTime(r))
 	cold := r.phase != loaded || !m.adapterLoaded(r, req.Adapter)
--- a/internal/agent/slots/item.go
+++ b/internal/agent/slots/item.go
@@ -36,7 +36,8 @@
 	// lastOrderEnd is when the last load or unload ended.
 	lastOrderEnd time.Time
 	loadCount    int64
-	idleTotal    time.Duration
+	// idleTotal is the total time for which the item was loaded without a running request.
+	idleTotal time.Duration
 	// meanLoadTime is a moving average of the load times; 0 before the first load.
 	meanLoadTime    time.Duration
 	recentLoadTimes []time.Duration
@@ -90,8 +91,9 @@
 	patientRunning int
 	// idleGaps records the times from lastRequestEnd to the next arrival.
 	// lastRequestEnd is first set at the end of the first load or at adoption.
-	idleGaps        keep.Gaps
-	lastRequestEnd  time.Time
+	idleGaps       keep.Gaps
+	lastRequestEnd time.Time
+	// coldWaits estimates the sum of all requests' waits in one cold start.
 	coldWaits       keep.Crowd
 	meanServiceTime time.Duration
 	// requestCount counts requests; coldRequestCount counts those that had to wait for a load.
--- a/internal/agent/slots/orders.go
+++ b/internal/agent/slots/orders.go
@@ -14,6 +14,7 @@
 	"foxtailcroft/internal/core/kinds"
 )
 
+// Bounds of the exponential backoff after failed loads and unconfirmed unloads.
 const (
 	initialRetryDelay = 500 * time.Millisecond
 	maxRetryDelay     = 15 * time.Second
--- a/internal/agent/slots/reconcile.go
+++ b/internal/agent/slots/reconcile.go
@@ -92,12 +92,12 @@
 // redirecting them to another endpoint.
 func (m *Manager) refuseQueued(v *view.View, r *replica) {
 	redirect := m.nextEndpoint(v.Plan(plan.ModelKey(r.name.Model)), Request{})
-	for t := r.queue.Pop(anyTicket); t != nil; t = r.queue.Pop(anyTicket) {
-		t.Ready(fault.NotRun(fault.NoSlot, "the slot of model %q at endpoint %q is being released", r.name.Model, m.settings.Node).WithEndpoint(redirect))
+	for w := r.queue.Pop(anyWaiter); w != nil; w = r.queue.Pop(anyWaiter) {
+		w.Resolve(fault.NotRun(fault.NoSlot, "the slot of model %q at endpoint %q is being released", r.name.Model, m.settings.Node).WithEndpoint(redirect))
 	}
 }
 
-func anyTicket(*queue.Ticket) bool { return true }
+func anyWaiter(*queue.Waiter) bool { return true }
 
 // keepLoaded reports whether an idle replica is to stay loaded: it is one of the
 // model's MinReplicas, or its keep-alive time has not passed.
@@ -140,28 +140,28 @@
 	if r.phase != loaded || r.name.Version != r.spec.Version {
 		return
 	}
-	r.queue.Each(func(t *queue.Ticket) { m.ensureAdapter(v, r, t, now) })
+	r.queue.Each(func(w *queue.Waiter) { m.ensureAdapter(v, r, w, now) })
 	for {
-		t := r.queue.Pop(func(t *queue.Ticket) bool {
-			return queue.Fits(t.Class, r.running, r.patientRunning, r.spec.Slots()) && m.adapterLoaded(r, t.Adapter)
+		w := r.queue.Pop(func(w *queue.Waiter) bool {
+			return queue.MayStart(w.Class, r.running, r.patientRunning, r.spec.Slots()) && m.adapterLoaded(r, w.Adapter)
 		})
-		if t == nil {
+		if w == nil {
 			return
 		}
-		m.startRequest(r, t, now)
+		m.startRequest(r, w, now)
 	}
 }
 
 // startRequest starts one queued request.
-func (m *Manager) startRequest(r *replica, t *queue.Ticket, now time.Time) {
+func (m *Manager) startRequest(r *replica, w *queue.Waiter, now time.Time) {
 	r.beginRequest(now)
-	if t.Class == kinds.Patient {
+	if w.Class == kinds.Patient {
 		r.patientRunning++
 	}
-	if a := r.adapters[t.Adapter]; a != nil {
+	if a := r.adapters[w.Adapter]; a != nil {
 		a.beginRequest(now)
 	}
-	t.Ready(nil)
+	w.Resolve(nil)
 }
 
 func (m *Manager) adapterLoaded(r *replica, adapter string) bool {
@@ -174,20 +174,20 @@
 
 // ensureAdapter loads the adapter that a queued request needs, first unloading
 // an idle one of another version, unless that is not possible now.
-func (m *Manager) ensureAdapter(v *view.View, r *replica, t *queue.Ticket, now time.Time) {
-	if t.Adapter == "" || r.releasing {
+func (m *Manager) ensureAdapter(v *view.View, r *replica, w *queue.Waiter, now time.Time) {
+	if w.Adapter == "" || r.releasing {
 		return
 	}
-	res, ok := v.Adapter(t.Adapter)
+	res, ok := v.Adapter(w.Adapter)
 	if !ok {
 		return
 	}
-	a := r.adapters[t.Adapter]
+	a := r.adapters[w.Adapter]
 	if a == nil {
 		a = &item{}
-		r.adapters[t.Adapter] = a
+		r.adapters[w.Adapter] = a
 	}
-	want := engine.Item{Model: r.name.Model, Adapter: t.Adapter, Version: res.Adapter.Version}
+	want := engine.Item{Model: r.name.Model, Adapter: w.Adapter, Version: res.Adapter.Version}
 	if a.phase == loaded && a.name != want && a.running == 0 {
 		m.startUnload(a, r)
 		return
@@ -197,7 +197,7 @@
 	}
 	a.name, a.bytes = want, res.Adapter.MemoryBytes
 	if m.evictToFit(a.bytes, r) {
-		m.startLoad(a, r, t.Deadline, t.Class.Rank())
+		m.startLoad(a, r, w.Deadline, w.Class.Rank())
 	}
 }
 
@@ -212,11 +212,11 @@
 		return
 	}
 	deadline, priority := time.Now().Add(m.settings.OrderTimeout), kinds.Patient.Rank()
-	r.queue.Each(func(t *queue.Ticket) {
-		if t.Deadline.Before(deadline) {
-			deadline = t.Deadline
+	r.queue.Each(func(w *queue.Waiter) {
+		if w.Deadline.Before(deadline) {
+			deadline = w.Deadline
 		}
-		priority = min(priority, t.Class.Rank())
+		priority = min(priority, w.Class.Rank())
 	})
 	m.startLoad(&r.item, r, deadline, priority)
 }
@@ -335,6 +335,6 @@
 
 func (m *Manager) adapterQueued(r *replica, adapter string) bool {
 	found := false
-	r.queue.Each(func(t *queue.Ticket) { found = found || t.Adapter == adapter })
+	r.queue.Each(func(w *queue.Waiter) { found = found || w.Adapter == adapter })
 	return found
 }
