--- a/internal/agent/asks/client.go
+++ b/internal/agent/asks/client.go
@@ -17,53 +17,56 @@
 )
 
 const (
-	// maxWait bounds the wait for a permit, after which the load goes ahead without one.
-	maxWait = 20 * time.Second
-	// maxAdapterWait bounds it for adapters, whose loads take milliseconds.
-	maxAdapterWait = 500 * time.Millisecond
-	returnTimeout  = 2 * time.Second
+	// maxPermitWait bounds the wait for a permit, after which the load proceeds without one.
+	maxPermitWait = 20 * time.Second
+	// maxAdapterPermitWait is the same bound for adapters, whose loads take milliseconds.
+	maxAdapterPermitWait = 500 * time.Millisecond
+	releaseTimeout       = 2 * time.Second
 )
 
-// Client asks the desk of its region for permits.
+// Client requests permits from the entries of the agent's region.
 type Client struct {
 	Self   plan.Node
 	Holder *view.Holder
 	Pool   *peer.Pool
 }
 
-// Permit waits for the right to load. Without a desk that answers, the load goes ahead.
-func (c *Client) Permit(ctx context.Context, name engine.Item, rank int, remaining time.Duration) func() {
-	wait := maxWait
+// Permit waits for a permit to load the item and returns the function that gives
+// it back. If no entry grants one in time, the load proceeds without a permit.
+func (c *Client) Permit(ctx context.Context, name engine.Item, priority int, remaining time.Duration) func() {
+	wait := maxPermitWait
 	if name.Adapter != "" {
-		wait = maxAdapterWait
+		wait = maxAdapterPermitWait
 	}
-	waiting, cancel := context.WithTimeout(ctx, wait)
+	waitCtx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	ask := wire.Permit{Node: c.Self.Name, Item: name.String(), Adapter: name.Adapter != "", Remaining: remaining, Class: classes[rank]}
-	conn := c.desk(waiting)
+	request := wire.Permit{Node: c.Self.Name, Item: name.String(), Adapter: name.Adapter != "", Remaining: remaining, Class: classByPriority[priority]}
+	conn := c.connect(waitCtx)
 	if conn == nil {
 		return func() {}
 	}
 	var reply wire.PermitReply
-	if conn.Call(waiting, wire.MethodPermit, ask, &reply) != nil || !reply.Granted {
+	if conn.Call(waitCtx, wire.MethodPermit, request, &reply) != nil || !reply.Granted {
 		return func() {}
 	}
 	return func() {
-		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), returnTimeout)
+		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), releaseTimeout)
 		defer cancel()
-		ask.Done = true
-		// A permit that is not given back expires at the desk.
-		_ = conn.Call(ctx, wire.MethodPermit, ask, &reply)
+		request.Done = true
+		// A permit that is not given back expires at the entry.
+		_ = conn.Call(ctx, wire.MethodPermit, request, &reply)
 	}
 }
 
-var classes = []kinds.Class{kinds.Urgent, kinds.Interactive, kinds.Patient}
+// classByPriority lists the request classes from the most urgent, at 0.
+var classByPriority = []kinds.Class{kinds.Urgent, kinds.Interactive, kinds.Patient}
 
-// maxDesks bounds the entries that are tried.
-const maxDesks = 2
+// maxEntriesTried bounds the entries to which a connection is tried.
+const maxEntriesTried = 2
 
-// desk returns a connection to the region's first entry by hash that can be reached.
-func (c *Client) desk(ctx context.Context) *peer.Conn {
+// connect returns a connection to the first reachable entry of the region in the
+// order of the name's hash, so that all agents ask the same entry; nil if none is reachable.
+func (c *Client) connect(ctx context.Context) *peer.Conn {
 	var entries []plan.Node
 	for _, n := range c.Holder.View().Nodes() {
 		if n.Role == plan.Entry && n.Region == c.Self.Region {
@@ -73,7 +76,7 @@
 	slices.SortFunc(entries, func(a, b plan.Node) int {
 		return cmp.Compare(xxhash.Sum64String(a.Name), xxhash.Sum64String(b.Name))
 	})
-	for _, e := range entries[:min(maxDesks, len(entries))] {
+	for _, e := range entries[:min(maxEntriesTried, len(entries))] {
 		if conn, err := c.Pool.Get(ctx, e.Address); err == nil {
 			return conn
 		}
--- a/internal/agent/asks/doc.go
+++ b/internal/agent/asks/doc.go
@@ -1,2 +1,2 @@
-// Package asks gets an agent permits for loads from the weight store at its region's desk.
+// Package asks obtains permits for loads from the weight store from an entry of the agent's region.
 package asks
--- a/internal/agent/guard/doc.go
+++ b/internal/agent/guard/doc.go
@@ -1,2 +1,2 @@
-// Package guard notices that an agent was paused and confirms its epoch before its next order.
+// Package guard detects that the agent's process was paused and confirms its epoch with the store before the next order.
 package guard
--- a/internal/agent/guard/guard.go
+++ b/internal/agent/guard/guard.go
@@ -12,66 +12,69 @@
 )
 
 const (
+	// beatPeriod is the interval between beats while the process runs.
 	beatPeriod = 200 * time.Millisecond
-	// pausedAfter is the gap between beats that counts as a pause.
-	pausedAfter = time.Second
+	// pauseThreshold is the gap between two beats above which the process counts as paused.
+	pauseThreshold = time.Second
 	// confirmTimeout bounds the store call that confirms the epoch.
 	confirmTimeout = 2 * time.Second
 )
 
-// Guard tells whether this process still holds its endpoint.
+// Guard checks whether this process is still the agent of its endpoint.
 type Guard struct {
 	store store.Store
 	node  string
 
-	mu      sync.Mutex
-	epoch   int64
-	last    time.Time
-	suspect bool
+	mu       sync.Mutex
+	epoch    int64
+	lastBeat time.Time
+	// unconfirmed is set by a pause until the store has confirmed the epoch.
+	unconfirmed bool
 }
 
 // New returns a guard of a node's epoch.
 func New(s store.Store, node string) *Guard {
-	return &Guard{store: s, node: node, last: time.Now()}
+	return &Guard{store: s, node: node, lastBeat: time.Now()}
 }
 
-// SetEpoch sets the epoch that the process has taken.
+// SetEpoch sets the epoch under which the process took the endpoint over.
 func (g *Guard) SetEpoch(epoch int64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.epoch = epoch
 }
 
-// Run beats until the context ends.
+// Run records a beat every beatPeriod until the context ends.
 func (g *Guard) Run(ctx context.Context) {
 	tick := time.NewTicker(beatPeriod)
 	defer tick.Stop()
 	for {
 		select {
 		case <-tick.C:
-			g.beat(time.Now())
+			g.recordBeat(time.Now())
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// beat notes that the process runs, and whether it did not for a while.
-func (g *Guard) beat(now time.Time) {
+// recordBeat records that the process runs now, and marks the epoch as
+// unconfirmed if the process was paused since the last beat.
+func (g *Guard) recordBeat(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.suspect = g.suspect || now.Sub(g.last) > pausedAfter
-	g.last = now
+	g.unconfirmed = g.unconfirmed || now.Sub(g.lastBeat) > pauseThreshold
+	g.lastBeat = now
 }
 
-// Check allows an order: at once unless the process was paused, else after the
-// store has confirmed its epoch. A newer epoch gives an *engine.Fenced.
+// Check returns nil if an order may be sent. After a pause it first confirms the
+// epoch with the store and returns an *engine.Fenced if the epoch is no longer current.
 func (g *Guard) Check(ctx context.Context) error {
-	g.beat(time.Now())
+	g.recordBeat(time.Now())
 	g.mu.Lock()
-	suspect, epoch := g.suspect, g.epoch
+	unconfirmed, epoch := g.unconfirmed, g.epoch
 	g.mu.Unlock()
-	if !suspect {
+	if !unconfirmed {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
@@ -86,11 +89,11 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.suspect = false
+	g.unconfirmed = false
 	return nil
 }
 
-// Epoch returns the epoch that the process has taken, 0 before that.
+// Epoch returns the epoch under which the process took the endpoint over, 0 before that.
 func (g *Guard) Epoch() int64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
