--- a/internal/agent/asks/client.go
+++ b/internal/agent/asks/client.go
@@ -31,9 +31,9 @@
 	Pool   *peer.Pool
 }
 
-// Permit waits for a permit to load the item and returns the function that gives
+// AcquirePermit waits for a permit to load the item and returns the function that gives
 // it back. If no entry grants one in time, the load proceeds without a permit.
-func (c *Client) Permit(ctx context.Context, name engine.Item, priority int, remaining time.Duration) func() {
+func (c *Client) AcquirePermit(ctx context.Context, name engine.Item, priority int, remaining time.Duration) func() {
 	wait := maxPermitWait
 	if name.Adapter != "" {
 		wait = maxAdapterPermitWait
--- a/internal/agent/slots/fence_test.go
+++ b/internal/agent/slots/fence_test.go
@@ -27,7 +27,9 @@
 
 type noopPermits struct{}
 
-func (noopPermits) Permit(context.Context, engine.Item, int, time.Duration) func() { return func() {} }
+func (noopPermits) AcquirePermit(context.Context, engine.Item, int, time.Duration) func() {
+	return func() {}
+}
 
 // TestDelayedLoadWithOldEpochIsFenced delivers a load of epoch 1 after the agent
 // of epoch 2 has read the engine back: the engine must refuse it.
--- a/internal/agent/slots/manager.go
+++ b/internal/agent/slots/manager.go
@@ -36,9 +36,9 @@
 
 // Permitter obtains permits to load from the weight store.
 type Permitter interface {
-	// Permit waits for a permit to load the item and returns the function that gives it back. It never
+	// AcquirePermit waits for a permit to load the item and returns the function that gives it back. It never
 	// fails, because a load without a permit is only slower.
-	Permit(ctx context.Context, name engine.Item, priority int, remaining time.Duration) func()
+	AcquirePermit(ctx context.Context, name engine.Item, priority int, remaining time.Duration) func()
 }
 
 // Manager manages an endpoint's slots and accelerator memory.
--- a/internal/agent/slots/orders.go
+++ b/internal/agent/slots/orders.go
@@ -30,7 +30,7 @@
 	m.group.Go(func() {
 		ctx, cancel := context.WithTimeout(m.ctx, m.settings.OrderTimeout)
 		defer cancel()
-		returnPermit := m.permits.Permit(ctx, o.Item, priority, time.Until(deadline))
+		returnPermit := m.permits.AcquirePermit(ctx, o.Item, priority, time.Until(deadline))
 		err := m.engine.Load(ctx, o)
 		returnPermit()
 		m.mu.Lock()
