--- a/internal/entry/caller/chat.go
+++ b/internal/entry/caller/chat.go
@@ -62,7 +62,7 @@
 	}
 	model, adapter, err := s.resolve(chat.Model)
 	req.Adapter = adapter
-	req.Target = route.Target{Model: model, Partition: -1, Prefix: prefix(adapter, chat.Messages)}
+	req.Target = route.Target{Model: model, Partition: -1, PrefixHash: prefix(adapter, chat.Messages)}
 	req.Key = ""
 	return req, chat, err
 }
--- a/internal/entry/calls/attempt.go
+++ b/internal/entry/calls/attempt.go
@@ -61,7 +61,7 @@
 	d.mu.Lock()
 	d.inboxes[a.run.Attempt] = a.in
 	d.mu.Unlock()
-	release := d.table.Sent(node.Name, req.Target)
+	release := d.table.TrackSent(node.Name, req.Target)
 	defer func() {
 		release()
 		a.end()
@@ -125,7 +125,7 @@
 func (a *attempt) finish(ctx context.Context, done *wire.Done) outcome {
 	// An agent that is not told keeps the answer until its deadline.
 	_ = a.conn.Notify(wire.MethodAck, wire.Ack{Attempt: a.run.Attempt})
-	a.d.table.Report(a.node.Name, a.req.Target, done.Load)
+	a.d.table.RecordLoad(a.node.Name, a.req.Target, done.Load)
 	if done.Refusal != nil {
 		a.d.follow(ctx, a.conn, done.Revision)
 		return refused(done.Refusal)
@@ -154,7 +154,7 @@
 		if errors.As(err, &r) {
 			return refused(r), false
 		}
-		a.d.table.Down(a.node.Name)
+		a.d.table.MarkUnreachable(a.node.Name)
 		if !a.sent {
 			return refused(fault.NotRun(fault.EndpointLost, "endpoint %q cannot be reached: %v", a.node.Name, err)), false
 		}
@@ -212,7 +212,7 @@
 		}
 		return err
 	}
-	a.d.table.Report(a.node.Name, a.req.Target, reply.Load)
+	a.d.table.RecordLoad(a.node.Name, a.req.Target, reply.Load)
 	if reply.Refusal != nil {
 		a.d.follow(ctx, conn, reply.Revision)
 		return reply.Refusal
--- a/internal/entry/calls/dispatch.go
+++ b/internal/entry/calls/dispatch.go
@@ -53,7 +53,7 @@
 			i.finish(done)
 		}
 	})
-	peer.OnNote(mux, wire.MethodLeaving, func(_ *peer.Conn, l wire.Leaving) { table.Leaving(l.Node, l.Epoch) })
+	peer.OnNote(mux, wire.MethodLeaving, func(_ *peer.Conn, l wire.Leaving) { table.MarkLeaving(l.Node, l.Epoch) })
 	return d, d.group.Close
 }
 
--- a/internal/entry/placer/doc.go
+++ b/internal/entry/placer/doc.go
@@ -1,2 +1,4 @@
-// Package placer is the planner: one entry at a time, by lease, decides which endpoints hold each model's slots and claim partitions.
+// Package placer implements the planner: the entry that holds the planner's
+// lease assigns each model's slots and each service's claim partitions to
+// endpoints.
 package placer
--- /dev/null
+++ b/internal/entry/placer/endpoints.go
@@ -0,0 +1,104 @@
+package placer
+
+import (
+	"foxtailcroft/internal/core/kinds"
+	"foxtailcroft/internal/core/plan"
+	"foxtailcroft/internal/core/view"
+	"foxtailcroft/internal/policy/place"
+)
+
+// endpointSet holds the endpoints that one planning step may place slots on.
+type endpointSet struct {
+	endpoints map[string]*place.Endpoint
+	// cacheTiers holds, by endpoint and model, where the checkpoint is cached: "memory" or "disk".
+	cacheTiers map[string]map[string]string
+}
+
+// newEndpointSet returns the engine endpoints that aren't leaving, each with the
+// memory promised to its planned slots.
+func newEndpointSet(v *view.View, leaving map[string]bool, cacheTiers map[string]map[string]string) *endpointSet {
+	set := &endpointSet{endpoints: map[string]*place.Endpoint{}, cacheTiers: cacheTiers}
+	for name, n := range v.Nodes() {
+		if isEngineAgent(n) && !leaving[name] {
+			set.endpoints[name] = &place.Endpoint{Name: name, Domain: n.Domain, MemoryBytes: n.MemoryBytes}
+		}
+	}
+	for name, m := range v.Models() {
+		for _, s := range v.Plan(plan.ModelKey(name)).Slots {
+			set.addPromised(s.Endpoint, m.Model.MemoryBytes)
+		}
+	}
+	return set
+}
+
+// isEngineAgent reports whether a node is an agent that fronts a model engine.
+func isEngineAgent(n plan.Node) bool {
+	return n.Role == plan.Agent && n.Back == plan.EngineBack
+}
+
+// addPromised adds bytes to the memory promised on an endpoint, if the set has it.
+func (set *endpointSet) addPromised(endpoint string, bytes int64) {
+	if e := set.endpoints[endpoint]; e != nil {
+		e.Promised += bytes
+	}
+}
+
+// cacheTierRanks orders cache tiers by load speed; a checkpoint that isn't cached ranks 0.
+var cacheTierRanks = map[string]int{"memory": 2, "disk": 1}
+
+// chooseEndpoint returns the endpoint for one more slot of a model, or false if none fits.
+func (set *endpointSet) chooseEndpoint(m kinds.Resource, p plan.Plan) (place.Endpoint, bool) {
+	need := place.Need{Model: m.Name, Bytes: m.Model.MemoryBytes, Domains: m.Model.Domains}
+	for _, s := range p.Slots {
+		need.Taken = append(need.Taken, s.Domain)
+		need.Used = append(need.Used, s.Endpoint)
+	}
+	candidates := make([]place.Endpoint, 0, len(set.endpoints))
+	for name, e := range set.endpoints {
+		candidate := *e
+		candidate.Near = cacheTierRanks[set.cacheTiers[name][m.Name]]
+		candidates = append(candidates, candidate)
+	}
+	return place.Choose(need, candidates)
+}
+
+// markReleasing sets the state Releasing on slots above MaxReplicas and on slots
+// that no longer fit their endpoint. A slot that doesn't fit but whose domain is
+// still allowed stays until another endpoint can replace it.
+func (set *endpointSet) markReleasing(m kinds.Resource, p plan.Plan, action string) (plan.Plan, string) {
+	active := p.Active()
+	for len(active) > m.Model.MaxReplicas {
+		p, action = p.WithState(active[len(active)-1].Number, plan.Releasing), "SlotReleasing"
+		active = p.Active()
+	}
+	for _, s := range active {
+		if set.slotFits(m, s) {
+			continue
+		}
+		if _, ok := set.chooseEndpoint(m, p); ok || !set.domainAllowed(m, s) {
+			p, action = p.WithState(s.Number, plan.Releasing), "SlotReleasing"
+		}
+	}
+	return p, action
+}
+
+// slotFits reports whether a slot's endpoint is available, large enough for the
+// model, and in a domain that the model allows.
+func (set *endpointSet) slotFits(m kinds.Resource, s plan.Slot) bool {
+	e := set.endpoints[s.Endpoint]
+	return e != nil && e.MemoryBytes >= m.Model.MemoryBytes && set.domainAllowed(m, s)
+}
+
+// domainAllowed reports whether the model may run in the slot's failure domain;
+// a model that lists no domains may run in any.
+func (set *endpointSet) domainAllowed(m kinds.Resource, s plan.Slot) bool {
+	if len(m.Model.Domains) == 0 {
+		return true
+	}
+	for _, d := range m.Model.Domains {
+		if d == s.Domain {
+			return true
+		}
+	}
+	return false
+}
--- a/internal/entry/placer/lease.go
+++ b/internal/entry/placer/lease.go
@@ -10,32 +10,33 @@
 )
 
 const (
-	leaseTTL   = 9 * time.Second
-	renewEvery = 3 * time.Second
-	// planEvery is how often the planner looks at the plan without a change.
-	planEvery = 2 * time.Second
+	leaseTTL      = 9 * time.Second
+	renewInterval = 3 * time.Second
+	// planInterval is the longest time between planning steps when the configuration doesn't change.
+	planInterval = 2 * time.Second
 )
 
-// leaseKey is the key that the planner's lease holds.
+// leaseKey is the store key bound to the planner's lease.
 const leaseKey = store.PlannerPrefix + "lease"
 
-// Run takes the planner's lease whenever it is free and plans while it holds
-// it. The lease only avoids double work: each write compares the revision it
-// read, so a planner that was paused past its lease overwrites nothing.
+// Run acquires the planner's lease whenever it is free and plans while holding
+// it. The lease only avoids duplicate work: each write compares the revision it
+// read, so a planner that was paused past its lease can't overwrite anything.
 func (p *Placer) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		lease, ok := p.acquire(ctx)
+		lease, ok := p.acquireLease(ctx)
 		if ok {
-			p.Log.Info("planner lease taken")
-			p.hold(ctx, lease)
+			p.Log.Info("planner lease acquired; planning starts")
+			p.planUnderLease(ctx, lease)
 		}
-		pause.For(ctx, renewEvery)
+		pause.For(ctx, renewInterval)
 	}
 }
 
-// acquire tries to take the lease.
-func (p *Placer) acquire(ctx context.Context) (int64, bool) {
-	if _, held, err := p.Store.Get(ctx, leaseKey); err != nil || held {
+// acquireLease tries to acquire the planner's lease and returns its ID, or
+// false if another entry holds it or the store call failed.
+func (p *Placer) acquireLease(ctx context.Context) (int64, bool) {
+	if _, exists, err := p.Store.Get(ctx, leaseKey); err != nil || exists {
 		return 0, false
 	}
 	lease, err := p.Store.Grant(ctx, leaseTTL)
@@ -50,32 +51,33 @@
 	return lease, err == nil && res.Succeeded
 }
 
-// hold plans until the lease is lost or cannot be renewed in time.
-func (p *Placer) hold(ctx context.Context, lease int64) {
-	renewed := time.Now()
-	p.reset()
-	for ctx.Err() == nil && time.Since(renewed) < leaseTTL {
+// planUnderLease plans until the lease expires or can't be renewed within its TTL.
+func (p *Placer) planUnderLease(ctx context.Context, lease int64) {
+	renewedAt := time.Now()
+	p.resetObservations()
+	for ctx.Err() == nil && time.Since(renewedAt) < leaseTTL {
 		_, changed := p.Holder.Changed()
 		p.Step(ctx)
-		if time.Since(renewed) >= renewEvery {
-			began := time.Now()
+		if time.Since(renewedAt) >= renewInterval {
+			sentAt := time.Now()
 			ok, err := p.Store.KeepAlive(ctx, lease)
 			if err == nil && !ok {
-				p.Log.Info("planner lease lost")
+				p.Log.Info("planner lease expired; planning stops until it is acquired again")
 				return
 			}
 			if err == nil {
-				renewed = began
+				renewedAt = sentAt
 			}
 		}
 		select {
 		case <-changed:
-			// Changes come in bursts; one look serves them all.
-			pause.For(ctx, burstPause)
-		case <-time.After(planEvery):
+			// Changes come in bursts; one planning step covers a burst.
+			pause.For(ctx, changeDebounce)
+		case <-time.After(planInterval):
 		case <-ctx.Done():
 		}
 	}
 }
 
-const burstPause = 200 * time.Millisecond
+// changeDebounce is the wait between a configuration change and the next planning step.
+const changeDebounce = 200 * time.Millisecond
--- a/internal/entry/placer/placer.go
+++ b/internal/entry/placer/placer.go
@@ -20,7 +20,7 @@
 	"foxtailcroft/internal/plat/store"
 )
 
-// Placer plans slots and claim partitions.
+// Placer assigns model slots and claim partitions to endpoints.
 type Placer struct {
 	Self   string
 	Holder *view.Holder
@@ -29,98 +29,102 @@
 	List   fleet.List
 	Pool   *peer.Pool
 	Log    *zap.Logger
-	// GoneAfter is how long the platform's list must lack an instance before
-	// it counts as gone; it must exceed the list's lag.
+	// GoneAfter is how long an instance must be absent from the platform's list
+	// before its node is deleted; it must exceed the list's lag.
 	GoneAfter time.Duration
 
-	// missing is when the list first lacked a node, and silent when a node first could not be reached.
-	missing map[string]time.Time
-	silent  map[string]time.Time
-	leaving map[string]bool
-	// near is how near checkpoints are at each endpoint, and asked the endpoint that was asked last.
-	near   map[string]map[string]string
-	asked  string
-	listed time.Time
+	// missingSince holds when a node was first absent from the list, and
+	// unreachableSince when it first couldn't be reached.
+	missingSince     map[string]time.Time
+	unreachableSince map[string]time.Time
+	leaving          map[string]bool
+	// cacheTiers holds, by endpoint and model, where the checkpoint is cached.
+	// lastPolled is the endpoint polled last for it.
+	cacheTiers map[string]map[string]string
+	lastPolled string
+	listReadAt time.Time
 }
 
-// listEvery is how often the platform's list is read.
-const listEvery = 2 * time.Second
+// listInterval is the shortest time between successful reads of the platform's list.
+const listInterval = 2 * time.Second
 
-// reset forgets what an earlier tenure saw.
-func (p *Placer) reset() {
-	p.missing, p.silent = map[string]time.Time{}, map[string]time.Time{}
-	p.leaving, p.near = map[string]bool{}, map[string]map[string]string{}
-	p.listed = time.Time{}
+// resetObservations clears what was observed under an earlier lease.
+func (p *Placer) resetObservations() {
+	p.missingSince, p.unreachableSince = map[string]time.Time{}, map[string]time.Time{}
+	p.leaving, p.cacheTiers = map[string]bool{}, map[string]map[string]string{}
+	p.listReadAt = time.Time{}
 }
 
-// Step brings the plan one step towards what is declared and listed.
+// Step runs one planning step: it moves the stored plans towards the declared
+// resources and the instances that the platform lists.
 func (p *Placer) Step(ctx context.Context) {
 	v := p.Holder.View()
-	if p.missing == nil {
-		p.reset()
+	if p.missingSince == nil {
+		p.resetObservations()
 	}
-	if time.Since(p.listed) >= listEvery {
-		p.readList(ctx, v)
-		p.readNear(ctx, v)
+	if time.Since(p.listReadAt) >= listInterval {
+		p.readInstanceList(ctx, v)
+		p.pollCacheTiers(ctx, v)
 	}
-	p.dropGone(ctx, v)
-	board := newBoard(v, p.leaving, p.near)
+	p.deleteGoneNodes(ctx, v)
+	endpoints := newEndpointSet(v, p.leaving, p.cacheTiers)
 	for _, m := range v.Resources(kinds.Model) {
-		p.planModel(ctx, v, board, m)
+		p.planModel(ctx, v, endpoints, m)
 	}
-	p.planDeleted(ctx, v)
+	p.planDeletedModels(ctx, v)
 	for _, s := range v.Resources(kinds.Service) {
-		p.planClaims(ctx, v, s)
+		p.planPartitions(ctx, v, s)
 	}
 }
 
-// readList notes which nodes are leaving and which the list lacks.
-func (p *Placer) readList(ctx context.Context, v *view.View) {
+// readInstanceList records which nodes are leaving and which are absent from the
+// platform's list. If the list can't be read, the earlier records stay.
+func (p *Placer) readInstanceList(ctx context.Context, v *view.View) {
 	instances, err := p.List.Instances(ctx)
 	if err != nil {
 		return
 	}
-	p.listed = time.Now()
-	live := map[string]bool{}
+	p.listReadAt = time.Now()
+	listed := map[string]bool{}
 	leaving := map[string]bool{}
 	for _, i := range instances {
-		live[i.Name] = true
+		listed[i.Name] = true
 		leaving[i.Name] = i.Leaving
 	}
 	p.leaving = leaving
 	for name := range v.Nodes() {
-		if live[name] {
-			delete(p.missing, name)
+		if listed[name] {
+			delete(p.missingSince, name)
 			continue
 		}
-		if _, ok := p.missing[name]; !ok {
-			p.missing[name] = p.listed
+		if _, ok := p.missingSince[name]; !ok {
+			p.missingSince[name] = p.listReadAt
 		}
 	}
 }
 
-// nearAtOnce bounds the endpoints that are asked at each reading of the list.
-const nearAtOnce = 8
+// maxPolledEndpoints bounds the endpoints polled for cache tiers at each read of the list.
+const maxPolledEndpoints = 8
 
-// readNear asks the next few endpoints, in turn, how near their checkpoints are.
-func (p *Placer) readNear(ctx context.Context, v *view.View) {
+// pollCacheTiers polls the next few endpoints, round robin, for the checkpoints they cache.
+func (p *Placer) pollCacheTiers(ctx context.Context, v *view.View) {
 	var names []string
 	for name, n := range v.Nodes() {
-		if takesSlots(n) && !p.leaving[name] {
+		if isEngineAgent(n) && !p.leaving[name] {
 			names = append(names, name)
 		}
 	}
 	slices.Sort(names)
-	first, _ := slices.BinarySearch(names, p.asked+"\x00")
-	for i := range min(nearAtOnce, len(names)) {
-		p.asked = names[(first+i)%len(names)]
-		p.near[p.asked] = p.cachedAt(ctx, v, p.asked)
+	first, _ := slices.BinarySearch(names, p.lastPolled+"\x00")
+	for i := range min(maxPolledEndpoints, len(names)) {
+		p.lastPolled = names[(first+i)%len(names)]
+		p.cacheTiers[p.lastPolled] = p.cacheTiersAt(ctx, v, p.lastPolled)
 	}
 }
 
-// cachedAt returns how near an endpoint's checkpoints are, or nothing if it does not answer.
-func (p *Placer) cachedAt(ctx context.Context, v *view.View, name string) map[string]string {
-	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
+// cacheTiersAt returns the cache tier of each checkpoint at an endpoint, or nil if it doesn't answer.
+func (p *Placer) cacheTiersAt(ctx context.Context, v *view.View, name string) map[string]string {
+	ctx, cancel := context.WithTimeout(ctx, agentCallTimeout)
 	defer cancel()
 	node, _ := v.Node(name)
 	conn, err := p.Pool.Get(ctx, node.Address)
@@ -134,27 +138,28 @@
 	return report.Cached
 }
 
-// dropGone deletes the nodes that the list has lacked for long enough.
-func (p *Placer) dropGone(ctx context.Context, v *view.View) {
-	for name, since := range p.missing {
+// deleteGoneNodes deletes the nodes that have been absent from the list for GoneAfter.
+func (p *Placer) deleteGoneNodes(ctx context.Context, v *view.View) {
+	for name, since := range p.missingSince {
 		if _, ok := v.Node(name); !ok {
-			delete(p.missing, name)
+			delete(p.missingSince, name)
 			continue
 		}
 		if time.Since(since) >= p.GoneAfter {
-			p.write(ctx, v, plan.NodeKey(name), nil, "NodeGone")
+			p.writeDecision(ctx, v, plan.NodeKey(name), nil, "NodeGone")
 		}
 	}
 }
 
-// write commits one decision against the revision that the view shows.
-func (p *Placer) write(ctx context.Context, v *view.View, key string, value any, action string) bool {
+// writeDecision writes one planning decision if the key is still at the view's
+// revision; a nil value deletes the key. It reports whether the write succeeded.
+func (p *Placer) writeDecision(ctx context.Context, v *view.View, key string, value any, action string) bool {
 	before, _ := v.Entry(key)
 	c := ledger.Change{Key: key, Before: before.Value, From: before.Revision, Actor: p.Self, Action: action}
 	if value != nil {
 		after, err := json.Marshal(value)
 		if err != nil {
-			p.Log.Error("decision cannot be encoded", zap.String("Key", key), zap.Error(err))
+			p.Log.Error("planning decision could not be encoded and is dropped", zap.String("Key", key), zap.Error(err))
 			return false
 		}
 		c.After = after
@@ -162,16 +167,18 @@
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	if _, err := p.Ledger.Write(ctx, c); err != nil {
-		p.Log.Info("decision not written", zap.String("Key", key), zap.String("Action", action), zap.Error(err))
+		p.Log.Info("planning decision not written; the next planning step decides again", zap.String("Key", key), zap.String("Action", action), zap.Error(err))
 		return false
 	}
 	return true
 }
 
+// writeTimeout bounds the write of one decision.
 const writeTimeout = 3 * time.Second
 
-// planModel moves one model's plan.
-func (p *Placer) planModel(ctx context.Context, v *view.View, b *board, m kinds.Resource) {
+// planModel updates one model's plan: it removes lost and released slots, starts
+// the release of surplus ones, and adds slots up to MaxReplicas.
+func (p *Placer) planModel(ctx context.Context, v *view.View, endpoints *endpointSet, m kinds.Resource) {
 	key := plan.ModelKey(m.Name)
 	before := v.Plan(key)
 	after, action := before, ""
@@ -181,41 +188,43 @@
 			after, action = after.Without(s.Number), "SlotLost"
 		}
 	}
-	after, action = p.release(ctx, v, after, action)
-	after, action = b.retire(m, after, action)
+	after, action = p.removeReleased(ctx, v, after, action)
+	after, action = endpoints.markReleasing(m, after, action)
 	for len(after.Slots) < m.Model.MaxReplicas {
-		e, ok := b.choose(m, after)
+		e, ok := endpoints.chooseEndpoint(m, after)
 		if !ok {
 			break
 		}
 		after, action = after.WithSlot(e.Name, e.Domain), "SlotDecided"
-		b.promise(e.Name, m.Model.MemoryBytes)
+		endpoints.addPromised(e.Name, m.Model.MemoryBytes)
 	}
 	if action != "" {
-		p.write(ctx, v, key, after, action)
+		p.writeDecision(ctx, v, key, after, action)
 	}
 }
 
-// release takes out the slots whose agents confirm that they are released.
-func (p *Placer) release(ctx context.Context, v *view.View, after plan.Plan, action string) (plan.Plan, string) {
+// removeReleased removes the slots in state Releasing whose agents confirm the release.
+func (p *Placer) removeReleased(ctx context.Context, v *view.View, after plan.Plan, action string) (plan.Plan, string) {
 	entry, _ := v.Entry(plan.ModelKey(after.Target))
 	for _, s := range after.Slots {
-		if s.State == plan.Releasing && p.confirmed(ctx, v, after.Target, s, entry.Revision) {
+		if s.State == plan.Releasing && p.releaseConfirmed(ctx, v, after.Target, s, entry.Revision) {
 			after, action = after.Without(s.Number), "SlotReleased"
 		}
 	}
 	return after, action
 }
 
-const releaseTimeout = time.Second
+// agentCallTimeout bounds one call or connection attempt to an agent.
+const agentCallTimeout = time.Second
 
-// confirmed asks the slot's agent whether the slot is released.
-func (p *Placer) confirmed(ctx context.Context, v *view.View, model string, s plan.Slot, revision int64) bool {
+// releaseConfirmed asks the slot's agent whether the slot is released. The slot
+// of a deleted node counts as released.
+func (p *Placer) releaseConfirmed(ctx context.Context, v *view.View, model string, s plan.Slot, revision int64) bool {
 	node, ok := v.Node(s.Endpoint)
 	if !ok {
 		return true
 	}
-	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
+	ctx, cancel := context.WithTimeout(ctx, agentCallTimeout)
 	defer cancel()
 	conn, err := p.Pool.Get(ctx, node.Address)
 	if err != nil || conn.Remote().Node != node.Name {
@@ -226,8 +235,9 @@
 	return err == nil && reply.Released
 }
 
-// planDeleted releases the slots of models that are no longer declared.
-func (p *Placer) planDeleted(ctx context.Context, v *view.View) {
+// planDeletedModels releases the slots of models that are no longer declared and
+// deletes their plans once no slot is left.
+func (p *Placer) planDeletedModels(ctx context.Context, v *view.View) {
 	for _, key := range v.PlanKeys() {
 		model, ok := strings.CutPrefix(key, "Plan/")
 		if !ok {
@@ -236,51 +246,52 @@
 		if _, declared := v.Model(model); declared {
 			continue
 		}
-		after, action := p.release(ctx, v, v.Plan(key), "")
+		after, action := p.removeReleased(ctx, v, v.Plan(key), "")
 		for _, s := range after.Active() {
 			after, action = after.WithState(s.Number, plan.Releasing), "SlotReleasing"
 		}
 		switch {
 		case len(after.Slots) == 0:
-			p.write(ctx, v, key, nil, "PlanDeleted")
+			p.writeDecision(ctx, v, key, nil, "PlanDeleted")
 		case action != "":
-			p.write(ctx, v, key, after, action)
+			p.writeDecision(ctx, v, key, after, action)
 		}
 	}
 }
 
-// silentFor is how long the owner of a claim partition may be out of reach before the partition moves.
-const silentFor = 4 * time.Second
+// partitionMoveDelay is how long the owner of a claim partition may be unreachable before the partition moves.
+const partitionMoveDelay = 4 * time.Second
 
-// planClaims gives each claim partition of a service an owner. Moving one needs
-// no word from the old owner, because the claim log itself keeps it out.
-func (p *Placer) planClaims(ctx context.Context, v *view.View, s kinds.Resource) {
+// planPartitions assigns each claim partition of a service to an endpoint. A
+// partition moves without the old owner's confirmation, because the claim log
+// itself fences that owner off.
+func (p *Placer) planPartitions(ctx context.Context, v *view.View, s kinds.Resource) {
 	key := plan.ClaimKey(s.Name)
 	after, action := v.Plan(key), ""
 	after.Target = s.Name
-	owned := map[string]int{}
+	partitionsByOwner := map[string]int{}
 	for _, name := range v.Endpoints(s.Name) {
 		if !p.leaving[name] && !p.unreachable(ctx, v, name) {
-			owned[name] = 0
+			partitionsByOwner[name] = 0
 		}
 	}
-	if len(owned) == 0 {
+	if len(partitionsByOwner) == 0 {
 		return
 	}
 	for _, slot := range after.Slots {
-		if _, ok := owned[slot.Endpoint]; ok {
-			owned[slot.Endpoint]++
+		if _, ok := partitionsByOwner[slot.Endpoint]; ok {
+			partitionsByOwner[slot.Endpoint]++
 		}
 	}
 	for i := range s.Service.Partitions() {
 		if i < len(after.Slots) {
-			if _, ok := owned[after.Slots[i].Endpoint]; ok {
+			if _, ok := partitionsByOwner[after.Slots[i].Endpoint]; ok {
 				continue
 			}
 		}
-		name := least(owned)
+		name := keyOfMinimum(partitionsByOwner)
 		node, _ := v.Node(name)
-		owned[name]++
+		partitionsByOwner[name]++
 		if i < len(after.Slots) {
 			after, action = after.WithOwner(i, name, node.Domain), "PartitionMoved"
 		} else {
@@ -288,30 +299,31 @@
 		}
 	}
 	if action != "" {
-		p.write(ctx, v, key, after, action)
+		p.writeDecision(ctx, v, key, after, action)
 	}
 }
 
-// unreachable reports whether a node has been out of reach for silentFor.
+// unreachable reports whether a node is deleted or has been unreachable for partitionMoveDelay.
 func (p *Placer) unreachable(ctx context.Context, v *view.View, name string) bool {
 	node, ok := v.Node(name)
 	if !ok {
 		return true
 	}
-	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
+	ctx, cancel := context.WithTimeout(ctx, agentCallTimeout)
 	defer cancel()
 	if _, err := p.Pool.Get(ctx, node.Address); err == nil {
-		delete(p.silent, name)
+		delete(p.unreachableSince, name)
 		return false
 	}
-	if _, ok := p.silent[name]; !ok {
-		p.silent[name] = time.Now()
+	if _, ok := p.unreachableSince[name]; !ok {
+		p.unreachableSince[name] = time.Now()
 	}
-	return time.Since(p.silent[name]) >= silentFor
+	return time.Since(p.unreachableSince[name]) >= partitionMoveDelay
 }
 
-// least returns the name with the smallest count, the first by name among equals.
-func least(counts map[string]int) string {
+// keyOfMinimum returns the key with the smallest count, and the first in
+// alphabetical order among equals.
+func keyOfMinimum(counts map[string]int) string {
 	names := slices.Sorted(maps.Keys(counts))
 	return slices.MinFunc(names, func(a, b string) int { return counts[a] - counts[b] })
 }
--- a/internal/entry/route/doc.go
+++ b/internal/entry/route/doc.go
@@ -1,2 +1,3 @@
-// Package route keeps what an entry knows of the endpoints that it sends to, and picks one for each request.
+// Package route tracks the load and reachability of the endpoints that an entry
+// sends to, and picks one for each request.
 package route
--- a/internal/entry/route/table.go
+++ b/internal/entry/route/table.go
@@ -12,108 +12,120 @@
 )
 
 const (
-	// downFor is how long an endpoint that could not be reached is tried last.
-	downFor = 2 * time.Second
-	// loadFor is how long a report of a loaded replica is believed.
-	loadFor = 30 * time.Second
+	// unreachableDemotion is how long an endpoint that couldn't be reached ranks behind all others.
+	unreachableDemotion = 2 * time.Second
+	// loadReportMaxAge is how long a report that a replica is loaded remains valid.
+	loadReportMaxAge = 30 * time.Second
 )
 
-// Target is what a request is for: a model, or a plain service.
+// Target is the destination of a request: a model, or a plain service.
 type Target struct {
 	Model   string
 	Service string
-	// Prefix hashes what the request shares with others, for cache affinity; 0 for nothing.
-	Prefix uint64
+	// PrefixHash hashes the adapter and prompt prefix that the request may share
+	// with others, for cache affinity; 0 if there is none.
+	PrefixHash uint64
 	// Partition is the claim partition of a keyed call; -1 for none.
 	Partition int
 }
 
-type key struct {
+// loadKey identifies the load of one target at one endpoint.
+type loadKey struct {
 	endpoint string
 	target   string
 }
 
-type known struct {
-	load wire.Load
-	at   time.Time
-	sent int
+// knownLoad is the last reported load and the requests sent since that have not ended.
+type knownLoad struct {
+	load            wire.Load
+	reportedAt      time.Time
+	sentSinceReport int
 }
 
-// Table is what an entry knows of endpoints. Entries follow only what they route to.
+// Table is an entry's record of its endpoints. It learns only of the endpoints
+// that the entry itself sends to.
 type Table struct {
-	domain string
-	mu     sync.Mutex
-	loads  map[key]*known
-	down   map[string]time.Time
-	// leaving holds the epoch in which an endpoint said that it leaves.
-	leaving map[string]int64
-	rnd     *rand.Rand
+	domain        string
+	mu            sync.Mutex
+	loads         map[loadKey]*knownLoad
+	unreachableAt map[string]time.Time
+	// leavingEpochs holds the highest epoch in which each endpoint announced that it is leaving.
+	leavingEpochs map[string]int64
+	rng           *rand.Rand
 }
 
-// NewTable returns an empty table of an entry in a failure domain.
+// NewTable returns an empty table for an entry in a failure domain; seed seeds
+// the random choice between endpoints.
 func NewTable(domain string, seed uint64) *Table {
 	return &Table{
-		domain: domain, loads: map[key]*known{}, down: map[string]time.Time{}, leaving: map[string]int64{},
-		rnd: rand.New(rand.NewPCG(seed, seed)),
+		domain: domain, loads: map[loadKey]*knownLoad{}, unreachableAt: map[string]time.Time{}, leavingEpochs: map[string]int64{},
+		rng: rand.New(rand.NewPCG(seed, seed)),
 	}
 }
 
-func (t Target) name() string {
+// loadName returns the model's name, or the service's name after a slash, which
+// keeps the two apart.
+func (t Target) loadName() string {
 	if t.Service != "" {
 		return "/" + t.Service
 	}
 	return t.Model
 }
 
-// Sent counts a request sent to an endpoint until the returned function is called.
-func (t *Table) Sent(endpoint string, target Target) func() {
+// TrackSent counts a request sent to an endpoint until the returned function is
+// called or the endpoint's next load report includes the request.
+func (t *Table) TrackSent(endpoint string, target Target) func() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	k := t.entry(endpoint, target)
-	k.sent++
+	k := t.knownLoad(endpoint, target)
+	k.sentSinceReport++
 	return sync.OnceFunc(func() {
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		k.sent = max(0, k.sent-1)
+		k.sentSinceReport = max(0, k.sentSinceReport-1)
 	})
 }
 
-func (t *Table) entry(endpoint string, target Target) *known {
-	id := key{endpoint, target.name()}
-	k := t.loads[id]
+// knownLoad returns the load record of a target at an endpoint and creates it if
+// needed; the caller must hold mu.
+func (t *Table) knownLoad(endpoint string, target Target) *knownLoad {
+	key := loadKey{endpoint, target.loadName()}
+	k := t.loads[key]
 	if k == nil {
-		k = &known{}
-		t.loads[id] = k
+		k = &knownLoad{}
+		t.loads[key] = k
 	}
 	return k
 }
 
-// Report notes the load that an endpoint told with a reply.
-func (t *Table) Report(endpoint string, target Target, load wire.Load) {
+// RecordLoad records the load that an endpoint reported with a reply, and marks the endpoint reachable.
+func (t *Table) RecordLoad(endpoint string, target Target, load wire.Load) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	k := t.entry(endpoint, target)
-	k.load, k.at = load, time.Now()
-	// The report counts own requests that have arrived, so only later ones are added to it.
-	k.sent = 0
-	delete(t.down, endpoint)
+	k := t.knownLoad(endpoint, target)
+	k.load, k.reportedAt = load, time.Now()
+	// The report includes this entry's requests that have arrived, so only later ones are added to it.
+	k.sentSinceReport = 0
+	delete(t.unreachableAt, endpoint)
 }
 
-// Down notes that an endpoint could not be reached.
-func (t *Table) Down(endpoint string) {
+// MarkUnreachable records that an endpoint couldn't be reached just now.
+func (t *Table) MarkUnreachable(endpoint string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.down[endpoint] = time.Now()
+	t.unreachableAt[endpoint] = time.Now()
 }
 
-// Leaving notes that an endpoint takes no new work in an epoch.
-func (t *Table) Leaving(endpoint string, epoch int64) {
+// MarkLeaving records that an endpoint takes no new work in an epoch.
+func (t *Table) MarkLeaving(endpoint string, epoch int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.leaving[endpoint] = max(t.leaving[endpoint], epoch)
+	t.leavingEpochs[endpoint] = max(t.leavingEpochs[endpoint], epoch)
 }
 
-// Candidates returns the endpoints that a target may be sent to, best slot first.
+// Candidates returns the endpoints that may serve a target, in the order of the
+// plan: the owner of the partition for a keyed call, else all endpoints of the
+// service or all active slots of the model.
 func Candidates(v *view.View, target Target) []string {
 	var names []string
 	switch {
@@ -132,49 +144,52 @@
 	return names
 }
 
-// Pick returns the node to send to, leaving out those in tried; ok is false if none is left.
+// Pick returns the node to send a request to, skipping those in tried and those
+// that are leaving, or false if none is left. Endpoints that were recently
+// unreachable are picked only if there is no other.
 func (t *Table) Pick(v *view.View, target Target, tried map[string]bool) (plan.Node, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var up, down []pick.Replica
+	var reachable, unreachable []pick.Replica
 	for _, name := range Candidates(v, target) {
 		node, ok := v.Node(name)
-		if !ok || tried[name] || t.leaving[name] >= node.Epoch {
+		if !ok || tried[name] || t.leavingEpochs[name] >= node.Epoch {
 			continue
 		}
-		r := t.replica(node, target)
-		if time.Since(t.down[name]) < downFor {
-			down = append(down, r)
+		r := t.pickReplica(node, target)
+		if time.Since(t.unreachableAt[name]) < unreachableDemotion {
+			unreachable = append(unreachable, r)
 		} else {
-			up = append(up, r)
+			reachable = append(reachable, r)
 		}
 	}
-	if len(up) == 0 {
-		up = down
+	if len(reachable) == 0 {
+		reachable = unreachable
 	}
-	if len(up) == 0 {
+	if len(reachable) == 0 {
 		return plan.Node{}, false
 	}
-	chosen := up[pick.Choose(up, target.Prefix, t.rnd)]
+	chosen := reachable[pick.Choose(reachable, target.PrefixHash, t.rng)]
 	node, _ := v.Node(chosen.Endpoint)
 	return node, true
 }
 
-func (t *Table) replica(node plan.Node, target Target) pick.Replica {
+// pickReplica returns the known state of a target at a node; the caller must hold mu.
+func (t *Table) pickReplica(node plan.Node, target Target) pick.Replica {
 	r := pick.Replica{Endpoint: node.Name, Local: node.Domain == t.domain, Loaded: target.Service != "", Capacity: 1}
-	k := t.loads[key{node.Name, target.name()}]
+	k := t.loads[loadKey{node.Name, target.loadName()}]
 	if k == nil {
 		return r
 	}
-	fresh := time.Since(k.at) < loadFor
+	fresh := time.Since(k.reportedAt) < loadReportMaxAge
 	r.Loaded = target.Service != "" || (k.load.Loaded && fresh)
-	r.Running, r.Queued, r.Capacity, r.Sent = k.load.Running, k.load.Queued, k.load.Capacity, k.sent
+	r.Running, r.Queued, r.Capacity, r.Sent = k.load.Running, k.load.Queued, k.load.Capacity, k.sentSinceReport
 	r.Service, r.Cold = k.load.Service, k.load.Cold
 	return r
 }
 
 // BestWait returns the shortest forecast wait over the loaded replicas of a
-// target; ok is false if none is known to be loaded.
+// target, with that replica's service time; ok is false if none is known to be loaded.
 func (t *Table) BestWait(v *view.View, target Target) (wait, service time.Duration, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -183,7 +198,7 @@
 		if !exists {
 			continue
 		}
-		r := t.replica(node, target)
+		r := t.pickReplica(node, target)
 		if w := pick.Forecast(r); r.Loaded && (!ok || w < wait) {
 			wait, service, ok = w, r.Service, true
 		}
