--- a/internal/entry/admin/doc.go
+++ b/internal/entry/admin/doc.go
@@ -1,2 +1,3 @@
-// Package admin serves the operators' API: declared resources, their status, watches and the audit trail.
+// Package admin serves the HTTP API for operators: declared resources, their
+// status, watches and the audit trail.
 package admin
--- a/internal/entry/admin/server.go
+++ b/internal/entry/admin/server.go
@@ -18,16 +18,16 @@
 	"foxtailcroft/internal/plat/ledger"
 )
 
-// The paths beside the kinds.
+// The names that take the place of a kind in the path but aren't kinds.
 const (
 	pathAudit  = "Audit"
 	pathStatus = "Status"
 )
 
-// maxBody bounds a resource's document.
-const maxBody = 1 << 20
+// maxBodyBytes bounds the body of a PUT.
+const maxBodyBytes = 1 << 20
 
-// headerActor names the operator, for the audit trail.
+// headerActor is the header in which operators give their name for the audit trail.
 const headerActor = "X-Operator"
 
 // Server serves the operators' API.
@@ -38,7 +38,8 @@
 	ledger   *ledger.Ledger
 }
 
-// NewServer returns a server of the holder's resources.
+// NewServer returns a server that reads resources from the holder, writes them
+// with w, and takes status from r and audit records from l.
 func NewServer(holder *view.Holder, w *Writer, r *Reporter, l *ledger.Ledger) *Server {
 	return &Server{holder: holder, writer: w, reporter: r, ledger: l}
 }
@@ -65,7 +66,8 @@
 
 // Event is one line of a watch.
 type Event struct {
-	// Type is Put, Deleted or, for a revision without changes of the kind, Bookmark.
+	// Type is Put, Deleted, or Bookmark, which gives the revision up to which the
+	// watch has sent all changes.
 	Type     string
 	Revision int64
 	Resource *kinds.Resource `json:",omitempty"`
@@ -81,11 +83,12 @@
 	Actual   int64 `json:",omitempty"`
 }
 
+// withKind returns a handler that parses the kind in the path and passes it and the name to h.
 func (s *Server) withKind(h func(http.ResponseWriter, *http.Request, kinds.Kind, string)) httprouter.Handle {
 	return func(w http.ResponseWriter, r *http.Request, ps httprouter.Params) {
 		kind, err := kinds.Parse(ps.ByName("kind"))
 		if err != nil {
-			fail(w, err)
+			writeError(w, err)
 			return
 		}
 		h(w, r, kind, ps.ByName("name"))
@@ -98,12 +101,12 @@
 		s.serveAudit(w, r)
 		return
 	case pathStatus:
-		reply(w, s.reporter.Cluster(r.Context()))
+		writeJSON(w, s.reporter.Cluster(r.Context()))
 		return
 	}
 	kind, err := kinds.Parse(ps.ByName("kind"))
 	if err != nil {
-		fail(w, err)
+		writeError(w, err)
 		return
 	}
 	if r.URL.Query().Get("watch") == "true" {
@@ -111,88 +114,88 @@
 		return
 	}
 	v := s.holder.View()
-	reply(w, List{Revision: v.Revision(), Items: v.Resources(kind)})
+	writeJSON(w, List{Revision: v.Revision(), Items: v.Resources(kind)})
 }
 
 func (s *Server) serveGet(w http.ResponseWriter, r *http.Request, kind kinds.Kind, name string) {
 	for _, res := range s.holder.View().Resources(kind) {
 		if res.Name == name {
-			status := s.reporter.Of(r.Context(), res)
+			status := s.reporter.StatusOf(r.Context(), res)
 			w.Header().Set("ETag", strconv.Quote(strconv.FormatInt(res.Revision, 10)))
-			reply(w, Item{Resource: res, Status: &status})
+			writeJSON(w, Item{Resource: res, Status: &status})
 			return
 		}
 	}
-	fail(w, &fault.Missing{Key: kinds.Key(kind, name)})
+	writeError(w, &fault.Missing{Key: kinds.Key(kind, name)})
 }
 
 func (s *Server) servePut(w http.ResponseWriter, r *http.Request, kind kinds.Kind, name string) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
-		fail(w, &fault.Field{Path: "", Rule: fmt.Sprintf("body could not be read: %v", err)})
+		writeError(w, &fault.Field{Path: "", Rule: fmt.Sprintf("body could not be read: %v", err)})
 		return
 	}
 	var res kinds.Resource
 	if err := json.Unmarshal(body, &res); err != nil {
-		fail(w, err)
+		writeError(w, err)
 		return
 	}
 	if res.Kind != kind || res.Name != name {
-		fail(w, &fault.Field{Path: "Name", Value: res.Key(), Rule: "does not match the path " + kinds.Key(kind, name)})
+		writeError(w, &fault.Field{Path: "Name", Value: res.Key(), Rule: "does not match the path " + kinds.Key(kind, name)})
 		return
 	}
-	expected, err := ifMatch(r)
+	expected, err := expectedRevision(r)
 	if err != nil {
-		fail(w, err)
+		writeError(w, err)
 		return
 	}
-	res, err = s.writer.Put(r.Context(), actor(r), res, expected, dryRun(r))
+	res, err = s.writer.Put(r.Context(), operatorName(r), res, expected, isDryRun(r))
 	if err != nil {
-		fail(w, err)
+		writeError(w, err)
 		return
 	}
 	w.Header().Set("ETag", strconv.Quote(strconv.FormatInt(res.Revision, 10)))
-	reply(w, Item{Resource: res})
+	writeJSON(w, Item{Resource: res})
 }
 
 func (s *Server) serveDelete(w http.ResponseWriter, r *http.Request, kind kinds.Kind, name string) {
-	expected, err := ifMatch(r)
+	expected, err := expectedRevision(r)
 	if err != nil {
-		fail(w, err)
+		writeError(w, err)
 		return
 	}
-	revision, err := s.writer.Delete(r.Context(), actor(r), kind, name, expected, dryRun(r))
+	revision, err := s.writer.Delete(r.Context(), operatorName(r), kind, name, expected, isDryRun(r))
 	if err != nil {
-		fail(w, err)
+		writeError(w, err)
 		return
 	}
-	reply(w, struct{ Revision int64 }{revision})
+	writeJSON(w, struct{ Revision int64 }{revision})
 }
 
 func (s *Server) serveAudit(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	f := ledger.Filter{Prefix: q.Get("prefix")}
 	if since := q.Get("since"); since != "" {
-		at, err := time.Parse(time.RFC3339, since)
+		sinceTime, err := time.Parse(time.RFC3339, since)
 		if err != nil {
-			fail(w, &fault.Field{Path: "since", Value: since, Rule: "must be a time such as 2026-01-02T15:04:05Z"})
+			writeError(w, &fault.Field{Path: "since", Value: since, Rule: "must be a time such as 2026-01-02T15:04:05Z"})
 			return
 		}
-		f.Since = at
+		f.Since = sinceTime
 	}
 	records, err := s.ledger.Records(r.Context(), f)
 	if err != nil {
-		fail(w, err)
+		writeError(w, err)
 		return
 	}
-	reply(w, struct{ Records any }{records})
+	writeJSON(w, struct{ Records any }{records})
 }
 
 // serveWatch streams the changes of a kind after a revision, one JSON line each.
 func (s *Server) serveWatch(w http.ResponseWriter, r *http.Request, kind kinds.Kind) {
 	after, err := strconv.ParseInt("0"+r.URL.Query().Get("revision"), 10, 64)
 	if err != nil {
-		fail(w, &fault.Field{Path: "revision", Value: r.URL.Query().Get("revision"), Rule: "must be a number"})
+		writeError(w, &fault.Field{Path: "revision", Value: r.URL.Query().Get("revision"), Rule: "must be a number"})
 		return
 	}
 	w.Header().Set("Content-Type", "application/x-ndjson")
@@ -212,7 +215,7 @@
 	}
 }
 
-// events returns the changes of a kind after a revision, and a bookmark.
+// events returns the changes of a kind after a revision, followed by a bookmark.
 func events(v *view.View, kind kinds.Kind, after int64) []Event {
 	var out []Event
 	for _, e := range v.Since(after).Entries {
@@ -234,7 +237,9 @@
 	return append(out, Event{Type: "Bookmark", Revision: v.Revision()})
 }
 
-func ifMatch(r *http.Request) (int64, error) {
+// expectedRevision parses the If-Match header; without one, or for "*", it
+// returns anyRevision.
+func expectedRevision(r *http.Request) (int64, error) {
 	h := strings.Trim(r.Header.Get("If-Match"), `"`)
 	if h == "" || h == "*" {
 		return anyRevision, nil
@@ -246,25 +251,27 @@
 	return n, nil
 }
 
-func dryRun(r *http.Request) bool {
+func isDryRun(r *http.Request) bool {
 	return r.URL.Query().Get("dryRun") == "true"
 }
 
-func actor(r *http.Request) string {
+// operatorName returns the actor for the audit trail: the name in the header,
+// else the remote address.
+func operatorName(r *http.Request) string {
 	if a := r.Header.Get(headerActor); a != "" {
 		return a
 	}
 	return "operator@" + r.RemoteAddr
 }
 
-func reply(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	// An operator that has gone does not read the answer.
+	// A write error means that the operator has gone.
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// fail answers a call with the status and the problem that fit its error.
-func fail(w http.ResponseWriter, err error) {
+// writeError writes the HTTP status and the Problem for an error.
+func writeError(w http.ResponseWriter, err error) {
 	status, p := http.StatusInternalServerError, Problem{Error: err.Error()}
 	var field *fault.Field
 	var fields *fault.Fields
@@ -285,6 +292,6 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// An operator that has gone does not read the answer.
+	// A write error means that the operator has gone.
 	_ = json.NewEncoder(w).Encode(p)
 }
--- a/internal/entry/admin/status.go
+++ b/internal/entry/admin/status.go
@@ -22,7 +22,7 @@
 	Type   string
 	Status bool
 	Reason string
-	// Since is when the condition was first seen as it is by this entry.
+	// Since is when this entry first saw the condition with its present status and reason.
 	Since time.Time
 }
 
@@ -30,17 +30,18 @@
 type Status struct {
 	ObservedGeneration int64
 	Conditions         []Condition
-	// Decided, Loaded and Loading count the replicas of a model.
+	// Decided, Loaded and Loading count a model's slots: all, those with the model
+	// in memory, and those loading it.
 	Decided int
 	Loaded  int
 	Loading int
-	// InForceOn is the number of nodes that apply the resource's revision, of Nodes.
+	// InForceOn is how many of the Nodes apply the resource's revision or a later one.
 	InForceOn int
 	Nodes     int
 	Replicas  []Replica `json:",omitempty"`
 }
 
-// Replica is one slot of a model as its agent reports it.
+// Replica is the state of one slot of a model as its agent reports it.
 type Replica struct {
 	Endpoint    string
 	Domain      string
@@ -54,7 +55,7 @@
 	Unreachable bool `json:",omitempty"`
 }
 
-// Cluster is the state of all endpoints and nodes.
+// Cluster is the state of all models, endpoints and nodes.
 type Cluster struct {
 	Revision  int64
 	Models    []ModelLine
@@ -81,7 +82,8 @@
 	Unreachable bool `json:",omitempty"`
 }
 
-// NodeLine is the revision that a node has in force; 0 if no relay has heard of it.
+// NodeLine is the state of one node. Revision is the one that the node applies;
+// 0 if no relay knows it.
 type NodeLine struct {
 	Name     string
 	Role     plan.Role
@@ -90,9 +92,10 @@
 }
 
 const (
-	reportTimeout = 1500 * time.Millisecond
-	// reportsAtOnce bounds the agents that are asked side by side.
-	reportsAtOnce = 16
+	// agentCallTimeout bounds one call to an agent or a relay.
+	agentCallTimeout = 1500 * time.Millisecond
+	// maxConcurrentReports bounds the concurrent calls to agents or relays.
+	maxConcurrentReports = 16
 )
 
 // Reporter gathers status from agents and relays.
@@ -101,27 +104,28 @@
 	pool   *peer.Pool
 	relay  *spread.Relay
 	mu     sync.Mutex
-	seen   map[string]Condition
+	// lastConditions holds, by resource key and condition type, the conditions last derived.
+	lastConditions map[string]Condition
 }
 
-// NewReporter returns a reporter of what the holder declares.
+// NewReporter returns a reporter on the resources and nodes in the holder's view.
 func NewReporter(holder *view.Holder, p *peer.Pool, relay *spread.Relay) *Reporter {
-	return &Reporter{holder: holder, pool: p, relay: relay, seen: map[string]Condition{}}
+	return &Reporter{holder: holder, pool: p, relay: relay, lastConditions: map[string]Condition{}}
 }
 
-// reports asks the named agents for their state.
-func (r *Reporter) reports(ctx context.Context, names []string) map[string]wire.Report {
+// agentReports returns the reports of the named agents, without those that don't answer.
+func (r *Reporter) agentReports(ctx context.Context, names []string) map[string]wire.Report {
 	v := r.holder.View()
 	var mu sync.Mutex
 	out := map[string]wire.Report{}
-	workers := pool.New().WithMaxGoroutines(reportsAtOnce)
+	workers := pool.New().WithMaxGoroutines(maxConcurrentReports)
 	for _, name := range names {
 		node, ok := v.Node(name)
 		if !ok {
 			continue
 		}
 		workers.Go(func() {
-			report, err := r.report(ctx, node)
+			report, err := r.agentReport(ctx, node)
 			if err != nil {
 				return
 			}
@@ -134,8 +138,8 @@
 	return out
 }
 
-func (r *Reporter) report(ctx context.Context, node plan.Node) (wire.Report, error) {
-	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
+func (r *Reporter) agentReport(ctx context.Context, node plan.Node) (wire.Report, error) {
+	ctx, cancel := context.WithTimeout(ctx, agentCallTimeout)
 	defer cancel()
 	var report wire.Report
 	conn, err := r.pool.Get(ctx, node.Address)
@@ -145,8 +149,9 @@
 	return report, conn.Call(ctx, wire.MethodReport, struct{}{}, &report)
 }
 
-// inForce returns the revisions that nodes have in force, gathered from the relays of each failure domain.
-func (r *Reporter) inForce(ctx context.Context) map[string]int64 {
+// revisionsInForce returns the revision that each node applies, gathered from
+// the relays of each failure domain.
+func (r *Reporter) revisionsInForce(ctx context.Context) map[string]int64 {
 	v := r.holder.View()
 	domains := map[string][]plan.Node{}
 	for _, n := range v.Nodes() {
@@ -162,18 +167,18 @@
 		}
 	}
 	merge(r.relay.Applied(ctx))
-	workers := pool.New().WithMaxGoroutines(reportsAtOnce)
+	workers := pool.New().WithMaxGoroutines(maxConcurrentReports)
 	for _, nodes := range domains {
 		for _, relay := range spread.Rank(nodes)[:min(spread.Parents, len(nodes))] {
-			workers.Go(func() { merge(r.appliedAt(ctx, relay)) })
+			workers.Go(func() { merge(r.appliedRevisions(ctx, relay)) })
 		}
 	}
 	workers.Wait()
 	return out
 }
 
-func (r *Reporter) appliedAt(ctx context.Context, relay plan.Node) map[string]int64 {
-	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
+func (r *Reporter) appliedRevisions(ctx context.Context, relay plan.Node) map[string]int64 {
+	ctx, cancel := context.WithTimeout(ctx, agentCallTimeout)
 	defer cancel()
 	var applied wire.Applied
 	conn, err := r.pool.Get(ctx, relay.Address)
@@ -183,17 +188,18 @@
 	return applied.Nodes
 }
 
-// Of returns the status of one resource.
-func (r *Reporter) Of(ctx context.Context, res kinds.Resource) Status {
+// StatusOf returns the status of one resource.
+func (r *Reporter) StatusOf(ctx context.Context, res kinds.Resource) Status {
 	v := r.holder.View()
 	var reports map[string]wire.Report
 	if res.Kind == kinds.Model {
-		reports = r.reports(ctx, endpointsOf(v, res.Name))
+		reports = r.agentReports(ctx, slotEndpoints(v, res.Name))
 	}
-	return r.status(v, res, reports, r.inForce(ctx))
+	return r.buildStatus(v, res, reports, r.revisionsInForce(ctx))
 }
 
-func endpointsOf(v *view.View, model string) []string {
+// slotEndpoints returns the endpoints of a model's slots.
+func slotEndpoints(v *view.View, model string) []string {
 	var out []string
 	for _, s := range v.Plan(plan.ModelKey(model)).Slots {
 		out = append(out, s.Endpoint)
@@ -201,8 +207,9 @@
 	return out
 }
 
-// status builds a resource's status from what was gathered.
-func (r *Reporter) status(v *view.View, res kinds.Resource, reports map[string]wire.Report, inForce map[string]int64) Status {
+// buildStatus returns a resource's status from the agents' reports and the
+// nodes' revisions in force.
+func (r *Reporter) buildStatus(v *view.View, res kinds.Resource, reports map[string]wire.Report, inForce map[string]int64) Status {
 	st := Status{Nodes: len(v.Nodes())}
 	if current, ok := v.Entry(res.Key()); ok && current.Revision >= res.Revision {
 		st.ObservedGeneration = res.Generation
@@ -213,14 +220,14 @@
 		}
 	}
 	if res.Kind == kinds.Model {
-		r.replicas(v, res.Name, reports, &st)
+		r.addReplicas(v, res.Name, reports, &st)
 	}
-	r.conditions(v, res, &st)
+	r.addConditions(v, res, &st)
 	return st
 }
 
-// replicas fills in the slots of a model.
-func (r *Reporter) replicas(v *view.View, model string, reports map[string]wire.Report, st *Status) {
+// addReplicas adds a model's replicas and their counts to the status.
+func (r *Reporter) addReplicas(v *view.View, model string, reports map[string]wire.Report, st *Status) {
 	for _, slot := range v.Plan(plan.ModelKey(model)).Slots {
 		line := Replica{Endpoint: slot.Endpoint, Domain: slot.Domain, Decision: slot.State, State: "Dormant"}
 		report, ok := reports[slot.Endpoint]
@@ -242,8 +249,8 @@
 	}
 }
 
-// conditions derives Ready, Progressing and Degraded.
-func (r *Reporter) conditions(v *view.View, res kinds.Resource, st *Status) {
+// addConditions derives the conditions Ready, Progressing and Degraded.
+func (r *Reporter) addConditions(v *view.View, res kinds.Resource, st *Status) {
 	ready, readyReason := true, "InForce"
 	progressing, progressReason := false, "Settled"
 	degraded, degradedReason := false, "AllReachable"
@@ -262,40 +269,41 @@
 	case res.Kind == kinds.Service && len(v.Endpoints(res.Name)) == 0:
 		ready, readyReason = false, "NoEndpoint"
 	}
-	lost := 0
+	unreachable := 0
 	for _, l := range st.Replicas {
 		if l.Unreachable {
-			lost++
+			unreachable++
 		}
 	}
-	if lost > 0 {
+	if unreachable > 0 {
 		degraded, degradedReason = true, "EndpointsUnreachable"
-		if lost == st.Decided {
+		if unreachable == st.Decided {
 			ready, readyReason = false, "EndpointsUnreachable"
 		}
 	}
 	st.Conditions = []Condition{
-		r.since(res, Condition{Type: "Ready", Status: ready, Reason: readyReason}),
-		r.since(res, Condition{Type: "Progressing", Status: progressing, Reason: progressReason}),
-		r.since(res, Condition{Type: "Degraded", Status: degraded, Reason: degradedReason}),
+		r.withSince(res, Condition{Type: "Ready", Status: ready, Reason: readyReason}),
+		r.withSince(res, Condition{Type: "Progressing", Status: progressing, Reason: progressReason}),
+		r.withSince(res, Condition{Type: "Degraded", Status: degraded, Reason: degradedReason}),
 	}
 }
 
-// since fills in when the condition became what it is.
-func (r *Reporter) since(res kinds.Resource, c Condition) Condition {
+// withSince returns the condition with Since set: the earlier time if neither
+// status nor reason has changed, else now.
+func (r *Reporter) withSince(res kinds.Resource, c Condition) Condition {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	key := res.Key() + "/" + c.Type
-	old, ok := r.seen[key]
+	old, ok := r.lastConditions[key]
 	c.Since = old.Since
 	if !ok || old.Status != c.Status || old.Reason != c.Reason {
 		c.Since = time.Now().UTC()
 	}
-	r.seen[key] = c
+	r.lastConditions[key] = c
 	return c
 }
 
-// Cluster returns the state of everything.
+// Cluster returns the state of all models, endpoints and nodes.
 func (r *Reporter) Cluster(ctx context.Context) Cluster {
 	v := r.holder.View()
 	var agents []string
@@ -304,10 +312,10 @@
 			agents = append(agents, name)
 		}
 	}
-	reports, inForce := r.reports(ctx, agents), r.inForce(ctx)
+	reports, inForce := r.agentReports(ctx, agents), r.revisionsInForce(ctx)
 	out := Cluster{Revision: v.Revision()}
 	for _, m := range v.Resources(kinds.Model) {
-		out.Models = append(out.Models, ModelLine{m.Name, r.status(v, m, reports, inForce)})
+		out.Models = append(out.Models, ModelLine{m.Name, r.buildStatus(v, m, reports, inForce)})
 	}
 	for _, n := range v.Nodes() {
 		out.Nodes = append(out.Nodes, NodeLine{n.Name, n.Role, n.Domain, inForce[n.Name]})
--- a/internal/entry/admin/writer.go
+++ b/internal/entry/admin/writer.go
@@ -13,22 +13,24 @@
 	"foxtailcroft/internal/plat/store"
 )
 
-// Writer accepts changes of resources.
+// Writer checks changes of resources and writes them to the store.
 type Writer struct {
 	store  store.Store
 	ledger *ledger.Ledger
 	holder *view.Holder
 }
 
-// NewWriter returns a writer to the store; references are checked against the holder's view.
+// NewWriter returns a writer to the store that checks references against the holder's view.
 func NewWriter(s store.Store, l *ledger.Ledger, holder *view.Holder) *Writer {
 	return &Writer{store: s, ledger: l, holder: holder}
 }
 
-// anyRevision stands for a write that names no revision.
+// anyRevision is the expected revision of a write without If-Match.
 const anyRevision int64 = -1
 
-// Put accepts a resource if it is valid and the stored one is at the expected revision.
+// Put writes a resource if it is valid and the stored one is at the expected
+// revision, and returns it with its generation and revision. An unchanged spec
+// isn't written. A dry run does all checks but doesn't write.
 func (w *Writer) Put(ctx context.Context, actor string, r kinds.Resource, expected int64, dryRun bool) (kinds.Resource, error) {
 	if err := kinds.Check(r); err != nil {
 		return r, err
@@ -36,7 +38,7 @@
 	if err := checkReferences(w.holder.View(), r); err != nil {
 		return r, err
 	}
-	old, kv, err := w.stored(ctx, r.Key(), expected)
+	old, kv, err := w.readStored(ctx, r.Key(), expected)
 	if err != nil {
 		return r, err
 	}
@@ -48,7 +50,7 @@
 	if err != nil {
 		return r, err
 	}
-	if same(old, r) {
+	if equalSpecs(old, r) {
 		return old.WithRevision(kv.Revision), nil
 	}
 	if dryRun {
@@ -62,10 +64,11 @@
 	return r.WithRevision(revision), err
 }
 
-// Delete removes a resource that nothing refers to.
+// Delete deletes a resource that no other refers to and that is at the expected
+// revision. It returns the revision of the deletion, or for a dry run the stored one.
 func (w *Writer) Delete(ctx context.Context, actor string, kind kinds.Kind, name string, expected int64, dryRun bool) (int64, error) {
 	key := kinds.Key(kind, name)
-	_, kv, err := w.stored(ctx, key, expected)
+	_, kv, err := w.readStored(ctx, key, expected)
 	if err != nil {
 		return 0, err
 	}
@@ -78,8 +81,9 @@
 	return w.ledger.Write(ctx, ledger.Change{Key: key, Before: kv.Value, From: kv.Revision, Actor: actor, Action: "Delete"})
 }
 
-// stored reads a resource and compares its revision with the expected one.
-func (w *Writer) stored(ctx context.Context, key string, expected int64) (kinds.Resource, store.KV, error) {
+// readStored reads a resource and compares its revision with the expected one.
+// A resource that isn't stored has revision 0.
+func (w *Writer) readStored(ctx context.Context, key string, expected int64) (kinds.Resource, store.KV, error) {
 	var old kinds.Resource
 	kv, ok, err := w.store.Get(ctx, store.StatePrefix+key)
 	if err != nil {
@@ -96,8 +100,8 @@
 	return old, kv, nil
 }
 
-// same reports whether two resources have equal specs.
-func same(a, b kinds.Resource) bool {
+// equalSpecs reports whether two resources have the same kind and equal specs.
+func equalSpecs(a, b kinds.Resource) bool {
 	if a.Kind != b.Kind {
 		return false
 	}
@@ -106,7 +110,8 @@
 	return errX == nil && errY == nil && string(x) == string(y)
 }
 
-// checkReferences refuses a resource that names one that is not declared.
+// checkReferences refuses a resource that refers to an undeclared one, and a
+// model and an adapter of the same name.
 func checkReferences(v *view.View, r kinds.Resource) error {
 	switch r.Kind {
 	case kinds.Adapter:
@@ -130,24 +135,25 @@
 	return nil
 }
 
-// checkChange refuses changes that running state depends on.
+// checkChange refuses a change to a service's number of claim partitions.
 func checkChange(v *view.View, old, r kinds.Resource) error {
 	if r.Kind != kinds.Service {
 		return nil
 	}
-	// Another number of partitions would look up remembered keys in the wrong
-	// logs, also where a service of that name was deleted before.
-	was := len(v.Plan(plan.ClaimKey(r.Name)).Slots)
+	// With another number of partitions, recorded idempotency keys would be looked
+	// up in the wrong claim logs, also after a service of that name was deleted
+	// and declared again.
+	oldPartitions := len(v.Plan(plan.ClaimKey(r.Name)).Slots)
 	if old.Service != nil {
-		was = old.Service.Partitions()
+		oldPartitions = old.Service.Partitions()
 	}
-	if was == 0 || was == r.Service.Partitions() {
+	if oldPartitions == 0 || oldPartitions == r.Service.Partitions() {
 		return nil
 	}
-	return fieldError("Spec.ClaimPartitions", fmt.Sprint(r.Service.ClaimPartitions), fmt.Sprintf("cannot change from %d", was))
+	return fieldError("Spec.ClaimPartitions", fmt.Sprint(r.Service.ClaimPartitions), fmt.Sprintf("cannot change from %d", oldPartitions))
 }
 
-// checkUnused refuses to delete a resource that others name.
+// checkUnused refuses to delete a resource that others refer to.
 func checkUnused(v *view.View, kind kinds.Kind, name string) error {
 	switch kind {
 	case kinds.Model:
--- a/internal/entry/admit/doc.go
+++ b/internal/entry/admit/doc.go
@@ -1,2 +1,2 @@
-// Package admit bounds the requests that an entry carries at once.
+// Package admit limits the number of requests that an entry has in flight, by priority class.
 package admit
--- a/internal/entry/admit/limit.go
+++ b/internal/entry/admit/limit.go
@@ -8,12 +8,12 @@
 	"foxtailcroft/internal/core/kinds"
 )
 
-// retryAfter is when a refused caller may find a place.
-const retryAfter = time.Second
+// retryAfterOverload is the Retry-After sent with an Overloaded refusal.
+const retryAfterOverload = time.Second
 
-// share returns the part of all places that a class may fill, in percent, so
-// that less pressing requests cannot keep more pressing ones out.
-func share(c kinds.Class) int {
+// classSharePercent returns the percentage of the capacity up to which a class
+// is admitted. Less urgent classes get less, so they can't keep urgent requests out.
+func classSharePercent(c kinds.Class) int {
 	switch c {
 	case kinds.Urgent:
 		return 100
@@ -23,36 +23,37 @@
 	return 95
 }
 
-// Limit bounds the requests in flight.
+// Limit bounds the number of requests in flight.
 type Limit struct {
-	places int
-	mu     sync.Mutex
-	taken  int
+	capacity int
+	mu       sync.Mutex
+	inFlight int
 }
 
-// New returns a limit of that many places.
-func New(places int) *Limit {
-	return &Limit{places: places}
+// New returns a limit of capacity requests in flight.
+func New(capacity int) *Limit {
+	return &Limit{capacity: capacity}
 }
 
-// Enter takes a place until the returned function is called, or refuses.
-func (l *Limit) Enter(c kinds.Class) (func(), error) {
+// Acquire admits a request, which counts as in flight until the returned
+// function is called. The error is an Overloaded *fault.Refusal if the class's share is used up.
+func (l *Limit) Acquire(c kinds.Class) (func(), error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.taken >= l.places*share(c)/100 {
-		return nil, fault.NotRun(fault.Overloaded, "the entry carries %d requests", l.taken).WithRetryAfter(retryAfter)
+	if l.inFlight >= l.capacity*classSharePercent(c)/100 {
+		return nil, fault.NotRun(fault.Overloaded, "the entry carries %d requests", l.inFlight).WithRetryAfter(retryAfterOverload)
 	}
-	l.taken++
+	l.inFlight++
 	return sync.OnceFunc(func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.taken--
+		l.inFlight--
 	}), nil
 }
 
-// InFlight returns the places taken.
+// InFlight returns the number of admitted requests that have not ended.
 func (l *Limit) InFlight() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.taken
+	return l.inFlight
 }
--- a/internal/entry/caller/chat.go
+++ b/internal/entry/caller/chat.go
@@ -15,7 +15,7 @@
 	"foxtailcroft/internal/entry/route"
 )
 
-// chatBody is the part of a chat completion request that routing reads.
+// chatBody holds the fields of a chat completion request that the entry itself reads.
 type chatBody struct {
 	Model    string            `json:"model"`
 	Stream   bool              `json:"stream"`
@@ -24,30 +24,30 @@
 
 func (s *Server) serveChat(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	began := time.Now()
-	req, chat, err := s.parseChat(w, r)
+	req, body, err := s.parseChat(w, r)
 	if err != nil {
-		s.count(req, chat.Model, calls.Result{}, began, err)
-		refuse(w, req.ID, err)
+		s.recordEnd(req, body.Model, calls.Result{}, began, err)
+		writeRefusal(w, req.ID, err)
 		return
 	}
-	leave, err := s.limit.Enter(req.Class)
+	release, err := s.limit.Acquire(req.Class)
 	if err != nil {
-		s.count(req, chat.Model, calls.Result{}, began, err)
-		refuse(w, req.ID, err)
+		s.recordEnd(req, body.Model, calls.Result{}, began, err)
+		writeRefusal(w, req.ID, err)
 		return
 	}
-	defer leave()
-	boundWrites(w, req.Deadline)
-	out := newChatWriter(w, req.ID, chat, began, s.first)
-	res, err := s.doer.Do(r.Context(), req, out)
-	s.count(req, chat.Model, res, began, err)
-	out.end(res, err)
+	defer release()
+	setWriteDeadline(w, req.Deadline)
+	out := newChatWriter(w, req.ID, body, began, s.firstTokenTime)
+	res, err := s.dispatcher.Do(r.Context(), req, out)
+	s.recordEnd(req, body.Model, res, began, err)
+	out.finish(res, err)
 }
 
 // parseChat reads and checks a chat completion request.
 func (s *Server) parseChat(w http.ResponseWriter, r *http.Request) (calls.Request, chatBody, error) {
 	var chat chatBody
-	req, err := s.begin(r)
+	req, err := s.parseCommon(r)
 	if err != nil {
 		return req, chat, err
 	}
@@ -62,12 +62,12 @@
 	}
 	model, adapter, err := s.resolve(chat.Model)
 	req.Adapter = adapter
-	req.Target = route.Target{Model: model, Partition: -1, PrefixHash: prefix(adapter, chat.Messages)}
-	req.Key = ""
+	req.Target = route.Target{Model: model, Partition: -1, PrefixHash: prefixHash(adapter, chat.Messages)}
+	req.IdempotencyKey = ""
 	return req, chat, err
 }
 
-// resolve returns the model that serves a name, and the adapter if the name is one.
+// resolve returns the model for a requested name, and the adapter if the name is an adapter's.
 func (s *Server) resolve(name string) (model, adapter string, err error) {
 	v := s.holder.View()
 	if _, ok := v.Model(name); ok {
@@ -79,13 +79,14 @@
 	return "", "", fault.NotRun(fault.NotFound, "field model: %q is neither a declared Model nor an Adapter", name)
 }
 
-// prefix hashes what a request shares with others: its adapter and its first message, if more follow.
-func prefix(adapter string, messages []json.RawMessage) uint64 {
+// prefixHash hashes what a request may share with others: its adapter, and its
+// first message if more follow. It returns 0 if there is neither.
+func prefixHash(adapter string, messages []json.RawMessage) uint64 {
 	if adapter == "" && len(messages) < 2 {
 		return 0
 	}
 	d := xxhash.New()
-	// A hash never fails to take bytes.
+	// Writing to a hash never fails.
 	_, _ = d.WriteString(adapter)
 	if len(messages) > 1 {
 		_, _ = d.Write(messages[0])
@@ -112,12 +113,13 @@
 		out.Data = append(out.Data, model{ID: a.Name, Object: "model", Owner: "operator", Root: a.Adapter.Model})
 	}
 	w.Header().Set("Content-Type", "application/json")
-	// A caller that has gone does not read the list.
+	// A write error means that the caller has gone.
 	_ = json.NewEncoder(w).Encode(out)
 }
 
+// setResultHeaders sets the headers of a whole chat completion.
 func setResultHeaders(h http.Header, id string, res calls.Result) {
 	h.Set(headerRequestID, id)
-	h.Set(headerCold, strconv.FormatBool(res.Cold))
+	h.Set(headerColdStart, strconv.FormatBool(res.ColdStart))
 	h.Set(headerEndpoint, res.Endpoint)
 }
--- a/internal/entry/caller/doc.go
+++ b/internal/entry/caller/doc.go
@@ -1,2 +1,3 @@
-// Package caller serves the callers' API: chat completions, the list of models, and plain services.
+// Package caller serves the HTTP API for callers: chat completions, the list of
+// models, and plain services.
 package caller
--- a/internal/entry/caller/refuse.go
+++ b/internal/entry/caller/refuse.go
@@ -9,10 +9,10 @@
 	"foxtailcroft/internal/core/fault"
 )
 
-// statusClientGone is the status of a request whose caller has gone, for the log.
-const statusClientGone = 499
+// statusCallerGone is the status of a request whose caller has gone; the caller never sees it.
+const statusCallerGone = 499
 
-// statusOf maps refusals to HTTP statuses.
+// statusOf returns the HTTP status of a refusal; 503 for codes without one of their own.
 func statusOf(c fault.Code) int {
 	switch c {
 	case fault.BadRequest:
@@ -28,12 +28,12 @@
 	case fault.EngineFailed:
 		return http.StatusBadGateway
 	case fault.Canceled:
-		return statusClientGone
+		return statusCallerGone
 	}
 	return http.StatusServiceUnavailable
 }
 
-// errorBody is what a refused caller reads.
+// errorBody is the response body of a refused request.
 type errorBody struct {
 	Error struct {
 		Code    fault.Code
@@ -56,8 +56,8 @@
 	return b
 }
 
-// refuse answers a request that got no answer.
-func refuse(w http.ResponseWriter, id string, err error) {
+// writeRefusal writes the response of a request that was refused before any part of its answer was written.
+func writeRefusal(w http.ResponseWriter, id string, err error) {
 	r := fault.Of(err)
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
@@ -67,6 +67,6 @@
 		h.Set("Retry-After", strconv.Itoa(int(math.Ceil(r.RetryAfter.Seconds()))))
 	}
 	w.WriteHeader(statusOf(r.Code))
-	// A caller that has gone does not read the refusal.
+	// A write error means that the caller has gone.
 	_ = json.NewEncoder(w).Encode(bodyOf(r))
 }
--- a/internal/entry/caller/server.go
+++ b/internal/entry/caller/server.go
@@ -23,44 +23,45 @@
 
 // The headers of the callers' API.
 const (
-	headerRequestID = "X-Request-Id"
-	headerTimeout   = "X-Timeout-Ms"
-	headerClass     = "X-Class"
-	headerKey       = "Idempotency-Key"
-	headerNotRun    = "X-Not-Run"
-	headerCold      = "X-Cold-Start"
-	headerReplayed  = "X-Idempotent-Replay"
-	headerEndpoint  = "X-Endpoint"
+	headerRequestID      = "X-Request-Id"
+	headerTimeout        = "X-Timeout-Ms"
+	headerClass          = "X-Class"
+	headerIdempotencyKey = "Idempotency-Key"
+	headerNotRun         = "X-Not-Run"
+	headerColdStart      = "X-Cold-Start"
+	headerReplayed       = "X-Idempotent-Replay"
+	headerEndpoint       = "X-Endpoint"
 )
 
-// Settings bound what callers may ask.
+// Settings holds the timeout of requests that name none, and the limits on what callers may request.
 type Settings struct {
 	DefaultTimeout time.Duration
 	MaxTimeout     time.Duration
 	MaxBodyBytes   int64
 }
 
-// Doer carries a request to its end.
-type Doer interface {
+// Dispatcher dispatches a request and passes its answer to the sink. The error
+// is nil for a whole answer, else a *fault.Refusal.
+type Dispatcher interface {
 	Do(ctx context.Context, req calls.Request, sink calls.Sink) (calls.Result, error)
 }
 
 // Server serves the callers' API.
 type Server struct {
-	set    Settings
-	holder *view.Holder
-	doer   Doer
-	limit  *admit.Limit
-	log    *zap.Logger
-	first  *metrics.Histogram
-	meters *metrics.Set
+	settings       Settings
+	holder         *view.Holder
+	dispatcher     Dispatcher
+	limit          *admit.Limit
+	log            *zap.Logger
+	firstTokenTime *metrics.Histogram
+	meters         *metrics.Set
 }
 
-// New returns a server that admits requests by the limit and carries them with the doer.
-func New(set Settings, holder *view.Holder, doer Doer, limit *admit.Limit, meters *metrics.Set, log *zap.Logger) *Server {
+// New returns a server that admits requests by the limit and passes them to the dispatcher.
+func New(settings Settings, holder *view.Holder, dispatcher Dispatcher, limit *admit.Limit, meters *metrics.Set, log *zap.Logger) *Server {
 	return &Server{
-		set: set, holder: holder, doer: doer, limit: limit, log: log, meters: meters,
-		first: meters.GetOrCreateHistogram("foxtailcroft_first_token_seconds"),
+		settings: settings, holder: holder, dispatcher: dispatcher, limit: limit, log: log, meters: meters,
+		firstTokenTime: meters.GetOrCreateHistogram("foxtailcroft_first_token_seconds"),
 	}
 }
 
@@ -73,9 +74,10 @@
 	}
 }
 
-// begin reads what all requests have in common.
-func (s *Server) begin(r *http.Request) (calls.Request, error) {
-	req := calls.Request{ID: r.Header.Get(headerRequestID), Key: r.Header.Get(headerKey)}
+// parseCommon parses the headers that all requests may have: request ID,
+// idempotency key, class and timeout.
+func (s *Server) parseCommon(r *http.Request) (calls.Request, error) {
+	req := calls.Request{ID: r.Header.Get(headerRequestID), IdempotencyKey: r.Header.Get(headerIdempotencyKey)}
 	if req.ID == "" {
 		req.ID = uuid.NewString()
 	}
@@ -92,22 +94,23 @@
 	return req, nil
 }
 
+// timeout parses the timeout header; an empty one gives the default.
 func (s *Server) timeout(header string) (time.Duration, error) {
 	if header == "" {
-		return s.set.DefaultTimeout, nil
+		return s.settings.DefaultTimeout, nil
 	}
 	ms, err := strconv.ParseInt(header, 10, 64)
-	if err != nil || ms <= 0 || ms > s.set.MaxTimeout.Milliseconds() {
-		return 0, fault.NotRun(fault.BadRequest, "header %s: %q is not a number of milliseconds from 1 to %d", headerTimeout, header, s.set.MaxTimeout.Milliseconds())
+	if err != nil || ms <= 0 || ms > s.settings.MaxTimeout.Milliseconds() {
+		return 0, fault.NotRun(fault.BadRequest, "header %s: %q is not a number of milliseconds from 1 to %d", headerTimeout, header, s.settings.MaxTimeout.Milliseconds())
 	}
 	return time.Duration(ms) * time.Millisecond, nil
 }
 
 // readBody reads the whole body within the size limit and the deadline.
 func (s *Server) readBody(w http.ResponseWriter, r *http.Request, deadline time.Time) ([]byte, error) {
-	// A transport without deadlines reads without one.
+	// A transport that doesn't support deadlines reads without one.
 	_ = http.NewResponseController(w).SetReadDeadline(deadline)
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, s.set.MaxBodyBytes))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, s.settings.MaxBodyBytes))
 	_ = http.NewResponseController(w).SetReadDeadline(time.Time{})
 	var tooLong *http.MaxBytesError
 	if errors.As(err, &tooLong) {
@@ -119,22 +122,23 @@
 	return body, nil
 }
 
-// writeGrace is how long past its deadline an answer may still be written to a slow caller.
-const writeGrace = 5 * time.Second
+// writeDeadlineGrace is how long past the request's deadline its answer may still be written to a slow caller.
+const writeDeadlineGrace = 5 * time.Second
 
-// boundWrites ends the writing to a caller that does not read.
-func boundWrites(w http.ResponseWriter, deadline time.Time) {
-	// A transport without deadlines writes without one.
-	_ = http.NewResponseController(w).SetWriteDeadline(deadline.Add(writeGrace))
+// setWriteDeadline sets the connection's write deadline, so a caller that
+// doesn't read can't block the answer forever.
+func setWriteDeadline(w http.ResponseWriter, deadline time.Time) {
+	// A transport that doesn't support deadlines writes without one.
+	_ = http.NewResponseController(w).SetWriteDeadline(deadline.Add(writeDeadlineGrace))
 }
 
-// count adds a request's end to the metrics and the log.
-func (s *Server) count(req calls.Request, target string, res calls.Result, began time.Time, err error) {
+// recordEnd records a request's outcome in the metrics and the log.
+func (s *Server) recordEnd(req calls.Request, target string, res calls.Result, began time.Time, err error) {
 	outcome := "Answered"
 	if err != nil {
 		outcome = string(fault.Of(err).Code)
 	}
 	s.meters.GetOrCreateCounter(fmt.Sprintf("foxtailcroft_requests_total{outcome=%q,class=%q}", outcome, req.Class)).Inc()
 	s.log.Debug("request ended", zap.String("Request", req.ID), zap.String("Target", target), zap.String("Outcome", outcome),
-		zap.String("Endpoint", res.Endpoint), zap.Int("Attempts", res.Attempts), zap.Bool("Cold", res.Cold), zap.Duration("Took", time.Since(began)), zap.Error(err))
+		zap.String("Endpoint", res.Endpoint), zap.Int("Attempts", res.Attempts), zap.Bool("Cold", res.ColdStart), zap.Duration("Took", time.Since(began)), zap.Error(err))
 }
--- a/internal/entry/caller/service.go
+++ b/internal/entry/caller/service.go
@@ -17,11 +17,11 @@
 	"foxtailcroft/internal/link/wire"
 )
 
-// maxKey bounds an idempotency key.
-const maxKey = 256
+// maxKeyBytes bounds the length of an idempotency key.
+const maxKeyBytes = 256
 
-// hopHeaders belong to one connection and are not passed on.
-var hopHeaders = []string{
+// hopByHopHeaders are the headers that apply to one connection and aren't forwarded.
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length",
 }
@@ -30,31 +30,31 @@
 	began := time.Now()
 	req, err := s.parseService(w, r, ps.ByName("name"), ps.ByName("path"))
 	if err != nil {
-		s.count(req, req.Target.Service, calls.Result{}, began, err)
-		refuse(w, req.ID, err)
+		s.recordEnd(req, req.Target.Service, calls.Result{}, began, err)
+		writeRefusal(w, req.ID, err)
 		return
 	}
-	leave, err := s.limit.Enter(req.Class)
+	release, err := s.limit.Acquire(req.Class)
 	if err != nil {
-		s.count(req, req.Target.Service, calls.Result{}, began, err)
-		refuse(w, req.ID, err)
+		s.recordEnd(req, req.Target.Service, calls.Result{}, began, err)
+		writeRefusal(w, req.ID, err)
 		return
 	}
-	defer leave()
-	boundWrites(w, req.Deadline)
-	var answer plainAnswer
-	res, err := s.doer.Do(r.Context(), req, &answer)
-	s.count(req, req.Target.Service, res, began, err)
+	defer release()
+	setWriteDeadline(w, req.Deadline)
+	var answer serviceAnswer
+	res, err := s.dispatcher.Do(r.Context(), req, &answer)
+	s.recordEnd(req, req.Target.Service, res, began, err)
 	if err != nil {
-		refuse(w, req.ID, err)
+		writeRefusal(w, req.ID, err)
 		return
 	}
 	answer.write(w, req.ID, res)
 }
 
-// parseService reads and checks a call of a plain service.
+// parseService parses and checks a call of a plain service.
 func (s *Server) parseService(w http.ResponseWriter, r *http.Request, name, path string) (calls.Request, error) {
-	req, err := s.begin(r)
+	req, err := s.parseCommon(r)
 	if err != nil {
 		return req, err
 	}
@@ -63,31 +63,32 @@
 	if !ok {
 		return req, fault.NotRun(fault.NotFound, "service %q is not declared", name)
 	}
-	if len(req.Key) > maxKey {
-		return req, fault.NotRun(fault.BadRequest, "header %s exceeds %d bytes", headerKey, maxKey)
+	if len(req.IdempotencyKey) > maxKeyBytes {
+		return req, fault.NotRun(fault.BadRequest, "header %s exceeds %d bytes", headerIdempotencyKey, maxKeyBytes)
 	}
 	if req.Body, err = s.readBody(w, r, req.Deadline); err != nil {
 		return req, err
 	}
-	req.Plain = &wire.PlainCall{
-		Method: r.Method, Path: path, Query: r.URL.RawQuery, Header: passedOn(r.Header), Idempotent: res.Service.Idempotent(r.Method),
+	req.PlainCall = &wire.PlainCall{
+		Method: r.Method, Path: path, Query: r.URL.RawQuery, Header: endToEndHeaders(r.Header), Idempotent: res.Service.Idempotent(r.Method),
 	}
-	if req.Plain.Idempotent {
-		req.Key = ""
+	if req.PlainCall.Idempotent {
+		req.IdempotencyKey = ""
 	}
-	if req.Key != "" {
-		req.Plain.Partition = int(xxhash.Sum64String(req.Key) % uint64(res.Service.Partitions()))
-		req.Target.Partition = req.Plain.Partition
+	if req.IdempotencyKey != "" {
+		req.PlainCall.Partition = int(xxhash.Sum64String(req.IdempotencyKey) % uint64(res.Service.Partitions()))
+		req.Target.Partition = req.PlainCall.Partition
 	}
 	return req, nil
 }
 
-// passedOn returns the headers that go with a message to its other end.
-func passedOn(h http.Header) http.Header {
+// endToEndHeaders returns the headers that are forwarded: all but the hop-by-hop
+// ones and those named in Connection.
+func endToEndHeaders(h http.Header) http.Header {
 	out := http.Header{}
-	named := strings.Split(h.Get("Connection"), ",")
+	connectionOptions := strings.Split(h.Get("Connection"), ",")
 	for k, v := range h {
-		if slices.Contains(hopHeaders, k) || slices.ContainsFunc(named, func(n string) bool { return strings.EqualFold(strings.TrimSpace(n), k) }) {
+		if slices.Contains(hopByHopHeaders, k) || slices.ContainsFunc(connectionOptions, func(n string) bool { return strings.EqualFold(strings.TrimSpace(n), k) }) {
 			continue
 		}
 		out[k] = v
@@ -95,14 +96,14 @@
 	return out
 }
 
-// plainAnswer gathers a plain service's whole answer.
-type plainAnswer struct {
+// serviceAnswer is a Sink that buffers the whole answer of a plain service.
+type serviceAnswer struct {
 	head wire.PlainHead
 	body bytes.Buffer
 }
 
-// Piece adds a piece.
-func (a *plainAnswer) Piece(p wire.Piece) error {
+// WritePiece appends a piece to the buffered answer.
+func (a *serviceAnswer) WritePiece(p wire.Piece) error {
 	if p.Head != nil {
 		a.head = *p.Head
 	}
@@ -110,9 +111,9 @@
 	return nil
 }
 
-func (a *plainAnswer) write(w http.ResponseWriter, id string, res calls.Result) {
+func (a *serviceAnswer) write(w http.ResponseWriter, id string, res calls.Result) {
 	h := w.Header()
-	for k, v := range passedOn(a.head.Header) {
+	for k, v := range endToEndHeaders(a.head.Header) {
 		h[k] = v
 	}
 	h.Set(headerRequestID, id)
@@ -122,6 +123,6 @@
 	}
 	h.Set("Content-Length", strconv.Itoa(a.body.Len()))
 	w.WriteHeader(max(a.head.Status, http.StatusOK))
-	// A caller that has gone does not read the answer.
+	// A write error means that the caller has gone.
 	_, _ = w.Write(a.body.Bytes())
 }
--- a/internal/entry/caller/writer.go
+++ b/internal/entry/caller/writer.go
@@ -14,21 +14,21 @@
 	"foxtailcroft/internal/link/wire"
 )
 
-// chatWriter turns an answer's pieces into a chat completion, streamed or whole.
+// chatWriter is a Sink that writes an answer as a chat completion, streamed or whole.
 type chatWriter struct {
-	w       http.ResponseWriter
-	control *http.ResponseController
-	id      string
-	chat    chatBody
-	began   time.Time
-	first   *metrics.Histogram
-	text    strings.Builder
-	tokens  int
-	started bool
+	w              http.ResponseWriter
+	control        *http.ResponseController
+	id             string
+	request        chatBody
+	began          time.Time
+	firstTokenTime *metrics.Histogram
+	text           strings.Builder
+	tokens         int
+	started        bool
 }
 
-func newChatWriter(w http.ResponseWriter, id string, chat chatBody, began time.Time, first *metrics.Histogram) *chatWriter {
-	return &chatWriter{w: w, control: http.NewResponseController(w), id: id, chat: chat, began: began, first: first}
+func newChatWriter(w http.ResponseWriter, id string, chat chatBody, began time.Time, firstTokenTime *metrics.Histogram) *chatWriter {
+	return &chatWriter{w: w, control: http.NewResponseController(w), id: id, request: chat, began: began, firstTokenTime: firstTokenTime}
 }
 
 type delta struct {
@@ -56,29 +56,29 @@
 	Usage   *usage   `json:"usage,omitempty"`
 }
 
-func (c *chatWriter) completion(object string, ch choice) completion {
-	return completion{ID: "chatcmpl-" + c.id, Object: object, Created: c.began.Unix(), Model: c.chat.Model, Choices: []choice{ch}}
+func (c *chatWriter) newCompletion(object string, ch choice) completion {
+	return completion{ID: "chatcmpl-" + c.id, Object: object, Created: c.began.Unix(), Model: c.request.Model, Choices: []choice{ch}}
 }
 
-// Piece passes tokens on to a streaming caller and gathers them for others.
-func (c *chatWriter) Piece(p wire.Piece) error {
+// WritePiece writes a piece to a streaming caller at once, and buffers it for any other.
+func (c *chatWriter) WritePiece(p wire.Piece) error {
 	if c.tokens == 0 {
-		c.first.UpdateDuration(c.began)
+		c.firstTokenTime.UpdateDuration(c.began)
 	}
 	c.tokens += p.Tokens
-	if !c.chat.Stream {
+	if !c.request.Stream {
 		c.text.Write(p.Data)
 		return nil
 	}
 	d := delta{Content: string(p.Data)}
 	if !c.started {
-		c.start()
+		c.startStream()
 		d.Role = "assistant"
 	}
-	return c.event(c.completion("chat.completion.chunk", choice{Delta: &d}))
+	return c.writeEvent(c.newCompletion("chat.completion.chunk", choice{Delta: &d}))
 }
 
-func (c *chatWriter) start() {
+func (c *chatWriter) startStream() {
 	c.started = true
 	h := c.w.Header()
 	h.Set("Content-Type", "text/event-stream")
@@ -87,8 +87,8 @@
 	c.w.WriteHeader(http.StatusOK)
 }
 
-// event writes one server-sent event.
-func (c *chatWriter) event(v any) error {
+// writeEvent writes one server-sent event.
+func (c *chatWriter) writeEvent(v any) error {
 	data, err := json.Marshal(v)
 	if err != nil {
 		return err
@@ -99,39 +99,40 @@
 	return c.control.Flush()
 }
 
-// end closes the answer: with the end marker if it is whole, else with the refusal.
-func (c *chatWriter) end(res calls.Result, err error) {
+// finish ends the answer: with the end marker or the whole completion if err is
+// nil, else with the refusal.
+func (c *chatWriter) finish(res calls.Result, err error) {
 	switch {
 	case err != nil && !c.started:
-		refuse(c.w, c.id, err)
+		writeRefusal(c.w, c.id, err)
 	case err != nil:
-		// A caller that has gone does not read the refusal.
-		_ = c.event(bodyOf(fault.Of(err)))
-	case c.chat.Stream:
-		c.endStream(res)
+		// A write error means that the caller has gone.
+		_ = c.writeEvent(bodyOf(fault.Of(err)))
+	case c.request.Stream:
+		c.finishStream(res)
 	default:
-		c.endWhole(res)
+		c.writeWhole(res)
 	}
 }
 
-func (c *chatWriter) endStream(res calls.Result) {
+func (c *chatWriter) finishStream(res calls.Result) {
 	if !c.started {
-		c.start()
+		c.startStream()
 	}
-	last := c.completion("chat.completion.chunk", choice{Delta: &delta{}, Finish: res.Finish})
+	last := c.newCompletion("chat.completion.chunk", choice{Delta: &delta{}, Finish: res.FinishReason})
 	last.Usage = &usage{c.tokens}
-	if c.event(last) != nil {
+	if c.writeEvent(last) != nil {
 		return
 	}
-	// A caller that has gone does not read the end marker.
+	// A write error means that the caller has gone.
 	_, _ = fmt.Fprint(c.w, "data: [DONE]\n\n")
 }
 
-func (c *chatWriter) endWhole(res calls.Result) {
+func (c *chatWriter) writeWhole(res calls.Result) {
 	setResultHeaders(c.w.Header(), c.id, res)
 	c.w.Header().Set("Content-Type", "application/json")
-	whole := c.completion("chat.completion", choice{Message: &delta{Role: "assistant", Content: c.text.String()}, Finish: res.Finish})
+	whole := c.newCompletion("chat.completion", choice{Message: &delta{Role: "assistant", Content: c.text.String()}, Finish: res.FinishReason})
 	whole.Usage = &usage{c.tokens}
-	// A caller that has gone does not read the answer.
+	// A write error means that the caller has gone.
 	_ = json.NewEncoder(c.w).Encode(whole)
 }
--- a/internal/entry/calls/attempt.go
+++ b/internal/entry/calls/attempt.go
@@ -14,15 +14,16 @@
 )
 
 const (
-	// acceptTimeout is how long an agent may take to accept an attempt, which it does without waiting for anything.
+	// acceptTimeout bounds an agent's reply to a Run, which it sends without waiting for anything.
 	acceptTimeout = 1500 * time.Millisecond
-	// reattachFor is how long an endpoint that fell silent is tried before a repeatable request goes elsewhere.
-	reattachFor = 3 * time.Second
-	// reattachPause separates the tries.
-	reattachPause = 100 * time.Millisecond
+	// reattachWindow is how long the entry tries to reconnect to an unresponsive
+	// endpoint before it sends an idempotent request to another one.
+	reattachWindow = 3 * time.Second
+	// reattachInterval is the pause between those tries.
+	reattachInterval = 100 * time.Millisecond
 )
 
-// outcome is how an attempt ended: an answer if refusal is nil.
+// outcome is the result of an attempt: a whole answer if refusal is nil.
 type outcome struct {
 	done    wire.Done
 	refusal *fault.Refusal
@@ -32,55 +33,59 @@
 	return outcome{refusal: r}
 }
 
-// attempt is one dispatch of a request to one endpoint, over as many connections as it takes.
+// attempt is one dispatch of a request to one endpoint. It survives the loss of
+// a connection: the entry reconnects and resumes the answer.
 type attempt struct {
-	d    *Dispatcher
-	req  Request
-	node plan.Node
-	run  wire.Run
-	in   *inbox
-	prog *progress
-	sink Sink
-	// held are the pieces of a plain service's answer, passed on once it is whole.
-	held []wire.Piece
-	conn *peer.Conn
-	end  func()
-	sent bool
-	// margin is the time left for settling after the context's deadline.
-	margin time.Duration
+	dispatcher *Dispatcher
+	req        Request
+	node       plan.Node
+	run        wire.Run
+	inbox      *inbox
+	progress   *progress
+	sink       Sink
+	// heldPieces holds a plain service's answer until it is whole and verified.
+	heldPieces []wire.Piece
+	conn       *peer.Conn
+	// endConnWork marks conn as having no more work for this attempt.
+	endConnWork func()
+	sent        bool
+	// settleMargin is the time between the context's deadline and the caller's,
+	// in which the attempt is revoked.
+	settleMargin time.Duration
 }
 
-// attempt runs one attempt to its end.
-func (d *Dispatcher) attempt(ctx context.Context, req Request, node plan.Node, prog *progress, sink Sink, margin time.Duration) outcome {
-	a := &attempt{d: d, req: req, node: node, in: newInbox(), prog: prog, sink: sink, end: func() {}, margin: margin}
+// runAttempt sends a request to a node and returns the outcome.
+func (d *Dispatcher) runAttempt(ctx context.Context, req Request, node plan.Node, delivered *progress, sink Sink, settleMargin time.Duration) outcome {
+	a := &attempt{dispatcher: d, req: req, node: node, inbox: newInbox(), progress: delivered, sink: sink, endConnWork: func() {}, settleMargin: settleMargin}
 	a.run = wire.Run{
 		Attempt: uuid.NewString(), Request: req.ID, Class: req.Class, Model: req.Target.Model, Adapter: req.Adapter,
-		Service: req.Target.Service, Plain: req.Plain, Key: req.Key, BodyBytes: len(req.Body),
-		Resume: wire.Resume{Tokens: prog.tokens, Text: prog.text.String()},
+		Service: req.Target.Service, Plain: req.PlainCall, Key: req.IdempotencyKey, BodyBytes: len(req.Body),
+		Resume: wire.Resume{Tokens: delivered.tokens, Text: delivered.text.String()},
 	}
 	d.mu.Lock()
-	d.inboxes[a.run.Attempt] = a.in
+	d.inboxes[a.run.Attempt] = a.inbox
 	d.mu.Unlock()
 	release := d.table.TrackSent(node.Name, req.Target)
 	defer func() {
 		release()
-		a.end()
-		a.in.close()
+		a.endConnWork()
+		a.inbox.close()
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		delete(d.inboxes, a.run.Attempt)
 	}()
-	return a.collect(ctx)
+	return a.sendAndReceive(ctx)
 }
 
-// collect sends the attempt and takes in its answer.
-func (a *attempt) collect(ctx context.Context) outcome {
+// sendAndReceive sends the attempt and receives its answer, reconnecting when
+// the connection is lost or pieces are missing.
+func (a *attempt) sendAndReceive(ctx context.Context) outcome {
 	if out, ok := a.connect(ctx); !ok {
 		return out
 	}
 	for {
 		select {
-		case <-a.in.signal:
+		case <-a.inbox.changed:
 		case <-a.conn.Done():
 			if out, ok := a.connect(ctx); !ok {
 				return out
@@ -89,8 +94,8 @@
 		case <-ctx.Done():
 			return a.settle(ctx)
 		}
-		pieces, done, missing := a.in.take()
-		if err := a.pass(pieces); err != nil {
+		pieces, done, missing := a.inbox.takeNew()
+		if err := a.deliver(pieces); err != nil {
 			return a.abandon(fault.Failed(fault.Canceled, "the caller has gone: %v", err))
 		}
 		if missing {
@@ -100,51 +105,53 @@
 			continue
 		}
 		if done != nil {
-			return a.finish(ctx, done)
+			return a.finishAnswer(ctx, done)
 		}
 	}
 }
 
-// pass hands tokens to the caller as they come, and holds a plain service's answer back until it is whole.
-func (a *attempt) pass(pieces []wire.Piece) error {
-	if a.req.Plain != nil {
-		a.held = append(a.held, pieces...)
+// deliver passes tokens to the caller as they arrive, and holds a plain
+// service's answer back until it is whole. An error means that the caller has gone.
+func (a *attempt) deliver(pieces []wire.Piece) error {
+	if a.req.PlainCall != nil {
+		a.heldPieces = append(a.heldPieces, pieces...)
 		return nil
 	}
 	for _, p := range pieces {
-		if err := a.sink.Piece(p); err != nil {
+		if err := a.sink.WritePiece(p); err != nil {
 			return err
 		}
-		a.prog.tokens += p.Tokens
-		a.prog.text.Write(p.Data)
+		a.progress.tokens += p.Tokens
+		a.progress.text.Write(p.Data)
 	}
 	return nil
 }
 
-// finish takes in the end of the answer.
-func (a *attempt) finish(ctx context.Context, done *wire.Done) outcome {
-	// An agent that is not told keeps the answer until its deadline.
+// finishAnswer acknowledges the end of the answer, verifies the answer, and
+// delivers the pieces that were held back.
+func (a *attempt) finishAnswer(ctx context.Context, done *wire.Done) outcome {
+	// If the acknowledgement is lost, the agent keeps the answer until the deadline.
 	_ = a.conn.Notify(wire.MethodAck, wire.Ack{Attempt: a.run.Attempt})
-	a.d.table.RecordLoad(a.node.Name, a.req.Target, done.Load)
+	a.dispatcher.table.RecordLoad(a.node.Name, a.req.Target, done.Load)
 	if done.Refusal != nil {
-		a.d.follow(ctx, a.conn, done.Revision)
+		a.dispatcher.catchUp(ctx, a.conn, done.Revision)
 		return refused(done.Refusal)
 	}
-	if bad := a.in.verify(done); bad != nil {
-		return refused(bad)
+	if mismatch := a.inbox.verify(done); mismatch != nil {
+		return refused(mismatch)
 	}
-	for _, p := range a.held {
-		if err := a.sink.Piece(p); err != nil {
+	for _, p := range a.heldPieces {
+		if err := a.sink.WritePiece(p); err != nil {
 			return refused(fault.Failed(fault.Canceled, "the caller has gone: %v", err))
 		}
 	}
 	return outcome{done: *done}
 }
 
-// connect sends the attempt, or asks after it on a new connection if it was
-// sent before. ok is false if the attempt has ended instead.
+// connect sends the attempt, or resumes it on a new connection if it was sent
+// before. If the attempt has ended instead, ok is false and out is its outcome.
 func (a *attempt) connect(ctx context.Context) (out outcome, ok bool) {
-	until := time.Now().Add(reattachFor)
+	giveUpAt := time.Now().Add(reattachWindow)
 	for {
 		err := a.connectOnce(ctx)
 		if err == nil {
@@ -154,26 +161,27 @@
 		if errors.As(err, &r) {
 			return refused(r), false
 		}
-		a.d.table.MarkUnreachable(a.node.Name)
+		a.dispatcher.table.MarkUnreachable(a.node.Name)
 		if !a.sent {
 			return refused(fault.NotRun(fault.EndpointLost, "endpoint %q cannot be reached: %v", a.node.Name, err)), false
 		}
 		if ctx.Err() != nil {
 			return a.settle(ctx), false
 		}
-		if a.req.idempotent() && time.Now().After(until) {
+		if a.req.idempotent() && time.Now().After(giveUpAt) {
 			return refused(fault.Failed(fault.EndpointLost, "endpoint %q fell silent: %v", a.node.Name, err)), false
 		}
 		select {
-		case <-time.After(reattachPause):
+		case <-time.After(reattachInterval):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// connectOnce makes one try to send the attempt; a *fault.Refusal ends it.
+// connectOnce tries once to send the attempt. A *fault.Refusal ends the attempt;
+// after any other error, connect may try again.
 func (a *attempt) connectOnce(ctx context.Context) error {
-	conn, err := a.d.pool.Get(ctx, a.node.Address)
+	conn, err := a.dispatcher.pool.Get(ctx, a.node.Address)
 	if err != nil {
 		return err
 	}
@@ -185,71 +193,74 @@
 		return fault.Failed(fault.EndpointLost, "endpoint %q has restarted since the attempt was sent", a.node.Name)
 	}
 	a.run.Epoch, a.run.Resent = remote.Epoch, a.sent
-	a.end()
-	a.conn, a.end = conn, conn.Begin()
+	a.endConnWork()
+	a.conn, a.endConnWork = conn, conn.Begin()
 	a.sent = true
 	return a.send(ctx, conn)
 }
 
-// send passes the body and the Run and waits for the agent to accept.
+// send sends the body in parts and then the Run, and waits for the agent to
+// accept it. It drops a connection on which the agent doesn't reply in time.
 func (a *attempt) send(ctx context.Context, conn *peer.Conn) error {
-	for at := 0; at < len(a.req.Body); at += wire.PartBytes {
-		part := wire.Part{Attempt: a.run.Attempt, Offset: at, Data: a.req.Body[at:min(at+wire.PartBytes, len(a.req.Body))]}
+	for offset := 0; offset < len(a.req.Body); offset += wire.PartBytes {
+		part := wire.Part{Attempt: a.run.Attempt, Offset: offset, Data: a.req.Body[offset:min(offset+wire.PartBytes, len(a.req.Body))]}
 		if err := conn.Notify(wire.MethodPart, part); err != nil {
 			return err
 		}
 	}
 	deadline, _ := ctx.Deadline()
 	a.run.Remaining = time.Until(deadline)
-	a.run.From = a.in.from()
-	a.run.Revision = a.d.holder.View().Revision()
-	accept, cancel := context.WithTimeout(ctx, acceptTimeout)
+	a.run.From = a.inbox.resumeSeq()
+	a.run.Revision = a.dispatcher.holder.View().Revision()
+	acceptCtx, cancel := context.WithTimeout(ctx, acceptTimeout)
 	defer cancel()
 	var reply wire.RunReply
-	if err := conn.Call(accept, wire.MethodRun, a.run, &reply); err != nil {
-		if ctx.Err() == nil && accept.Err() != nil {
-			a.d.pool.Drop(conn)
+	if err := conn.Call(acceptCtx, wire.MethodRun, a.run, &reply); err != nil {
+		if ctx.Err() == nil && acceptCtx.Err() != nil {
+			a.dispatcher.pool.Drop(conn)
 		}
 		return err
 	}
-	a.d.table.RecordLoad(a.node.Name, a.req.Target, reply.Load)
+	a.dispatcher.table.RecordLoad(a.node.Name, a.req.Target, reply.Load)
 	if reply.Refusal != nil {
-		a.d.follow(ctx, conn, reply.Revision)
+		a.dispatcher.catchUp(ctx, conn, reply.Revision)
 		return reply.Refusal
 	}
 	return nil
 }
 
-// CutOff is the cause of a context that ends because the entry stops.
+// CutOff is the cancellation cause of requests that are still in flight when the entry shuts down.
 type CutOff struct{}
 
-// Error says why the request ended.
+// Error implements error.
 func (*CutOff) Error() string {
-	return "the entry stops before the request has ended"
+	return "entry shut down before the request ended"
 }
 
-// settle ends an attempt whose time is up: revoked before it ran, or not known to have.
+// settle ends an attempt whose context is done. Unless the caller has gone, it
+// revokes the attempt to find out whether it certainly didn't run.
 func (a *attempt) settle(ctx context.Context) outcome {
-	var cut *CutOff
-	if errors.Is(ctx.Err(), context.Canceled) && !errors.As(context.Cause(ctx), &cut) {
+	var cutOff *CutOff
+	if errors.Is(ctx.Err(), context.Canceled) && !errors.As(context.Cause(ctx), &cutOff) {
 		return a.abandon(fault.Failed(fault.Canceled, "the caller has gone"))
 	}
-	if a.revoke(a.margin / 2) {
+	if a.revoke(a.settleMargin / 2) {
 		return refused(fault.NotRun(fault.DeadlineExceeded, "endpoint %q did not begin the request in time", a.node.Name))
 	}
 	return refused(fault.Failed(fault.DeadlineExceeded, "endpoint %q did not answer in time", a.node.Name))
 }
 
-// abandonTimeout bounds the revocation of an attempt nobody waits for.
+// abandonTimeout bounds the revocation of an attempt whose caller has gone.
 const abandonTimeout = 2 * time.Second
 
-// abandon revokes the attempt without waiting for it.
+// abandon revokes the attempt in the background and returns the refusal.
 func (a *attempt) abandon(r *fault.Refusal) outcome {
-	a.d.group.Go(func() { a.revoke(abandonTimeout) })
+	a.dispatcher.background.Go(func() { a.revoke(abandonTimeout) })
 	return refused(r)
 }
 
-// revoke asks the agent to end the attempt and reports whether it certainly did not run.
+// revoke asks the agent to cancel the attempt and reports whether the agent
+// confirmed that it did not run.
 func (a *attempt) revoke(timeout time.Duration) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
--- a/internal/entry/calls/dispatch.go
+++ b/internal/entry/calls/dispatch.go
@@ -19,87 +19,93 @@
 	"foxtailcroft/internal/policy/retry"
 )
 
-// Dispatcher sends requests to endpoints and settles them.
+// Dispatcher sends requests to endpoints, retries them, and relays their answers.
 type Dispatcher struct {
-	holder *view.Holder
-	pool   *peer.Pool
-	table  *route.Table
-	log    *zap.Logger
-	group  crew.Group
-	late   *metrics.Counter
-	again  *metrics.Counter
+	holder           *view.Holder
+	pool             *peer.Pool
+	table            *route.Table
+	log              *zap.Logger
+	background       crew.Group
+	lateAnswers      *metrics.Counter
+	repeatedAttempts *metrics.Counter
 
-	mu      sync.Mutex
-	inboxes map[string]*inbox
-	budget  retry.Budget
-	pulling map[string]bool
+	mu sync.Mutex
+	// inboxes holds the running attempts by ID.
+	inboxes     map[string]*inbox
+	retryBudget retry.Budget
+	// pullingFrom holds the peer addresses from which configuration is being pulled.
+	pullingFrom map[string]bool
 }
 
-// New returns a dispatcher, registered on the mux of the pool, and the function that waits for its work.
+// New returns a dispatcher whose message handlers are registered on the mux,
+// and a function that waits for its background work to end.
 func New(holder *view.Holder, pool *peer.Pool, mux *peer.Mux, table *route.Table, set *metrics.Set, log *zap.Logger) (*Dispatcher, func()) {
 	d := &Dispatcher{
 		holder: holder, pool: pool, table: table, log: log,
-		late:    set.GetOrCreateCounter("foxtailcroft_late_answers_dropped_total"),
-		again:   set.GetOrCreateCounter("foxtailcroft_repeated_attempts_total"),
-		inboxes: map[string]*inbox{}, budget: retry.NewBudget(), pulling: map[string]bool{},
+		lateAnswers:      set.GetOrCreateCounter("foxtailcroft_late_answers_dropped_total"),
+		repeatedAttempts: set.GetOrCreateCounter("foxtailcroft_repeated_attempts_total"),
+		inboxes:          map[string]*inbox{}, retryBudget: retry.NewBudget(), pullingFrom: map[string]bool{},
 	}
 	peer.OnStream(mux, wire.StreamPiece, func(_ *peer.Conn, p wire.Piece) {
-		if i := d.inbox(p.Attempt); i != nil {
-			i.piece(p)
+		if i := d.inboxOf(p.Attempt); i != nil {
+			i.addPiece(p)
 		}
 	})
 	peer.OnNote(mux, wire.MethodDone, func(_ *peer.Conn, done wire.Done) {
-		if i := d.inbox(done.Attempt); i != nil {
-			i.finish(done)
+		if i := d.inboxOf(done.Attempt); i != nil {
+			i.setDone(done)
 		}
 	})
 	peer.OnNote(mux, wire.MethodLeaving, func(_ *peer.Conn, l wire.Leaving) { table.MarkLeaving(l.Node, l.Epoch) })
-	return d, d.group.Close
+	return d, d.background.Close
 }
 
-// inbox returns an attempt's inbox, or counts a message for an attempt that is over.
-func (d *Dispatcher) inbox(attempt string) *inbox {
+// inboxOf returns the inbox of a running attempt. For an attempt that has ended
+// it counts a late answer and returns nil.
+func (d *Dispatcher) inboxOf(attempt string) *inbox {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	i := d.inboxes[attempt]
 	if i == nil {
-		d.late.Inc()
+		d.lateAnswers.Inc()
 	}
 	return i
 }
 
-// progress is what the attempts of one request have delivered so far.
+// progress is the part of the answer that the attempts of one request have
+// delivered so far; the next attempt resumes after it.
 type progress struct {
 	tokens int
 	text   strings.Builder
 }
 
-// Do carries a request to its end: nil for a whole answer passed to the sink, else a *fault.Refusal.
+// Do dispatches a request until it is answered or refused. The error is nil if
+// the sink received a whole answer, else a *fault.Refusal.
 func (d *Dispatcher) Do(ctx context.Context, req Request, sink Sink) (Result, error) {
-	margin := retry.Margin(time.Until(req.Deadline))
-	ctx, cancel := context.WithDeadline(ctx, req.Deadline.Add(-margin))
+	settleMargin := retry.Margin(time.Until(req.Deadline))
+	ctx, cancel := context.WithDeadline(ctx, req.Deadline.Add(-settleMargin))
 	defer cancel()
-	d.earn()
-	s := &search{tried: map[string]bool{}, pause: firstPause}
-	prog := &progress{}
+	d.earnRetryBudget()
+	s := &endpointSearch{tried: map[string]bool{}, delay: minSearchDelay}
+	delivered := &progress{}
 	var res Result
 	for res.Attempts < retry.MaxAttempts && s.next(ctx, d, req) {
 		res.Attempts++
-		out := d.attempt(ctx, req, s.node, prog, sink, margin)
+		out := d.runAttempt(ctx, req, s.node, delivered, sink, settleMargin)
 		if out.refusal == nil {
-			res.Endpoint, res.Finish, res.Cold, res.Replayed = s.node.Name, out.done.Finish, out.done.Cold, out.done.Replayed
+			res.Endpoint, res.FinishReason, res.ColdStart, res.Replayed = s.node.Name, out.done.Finish, out.done.Cold, out.done.Replayed
 			return res, nil
 		}
-		s.failed(out.refusal)
-		if ctx.Err() != nil || (!s.last.NotRun && !req.idempotent()) || final(out.refusal.Code) {
+		s.recordRefusal(out.refusal)
+		if ctx.Err() != nil || (!s.lastRefusal.NotRun && !req.idempotent()) || isFinal(out.refusal.Code) {
 			break
 		}
 	}
-	return res, s.refusal(ctx, req)
+	return res, s.finalRefusal(ctx, req)
 }
 
-// final reports whether no other endpoint would answer differently.
-func final(c fault.Code) bool {
+// isFinal reports whether every other endpoint would refuse with the same code.
+func isFinal(c fault.Code) bool {
 	switch c {
 	case fault.BadRequest, fault.KeyReused, fault.Canceled:
 		return true
@@ -107,47 +113,49 @@
 	return false
 }
 
-func (d *Dispatcher) earn() {
+// earnRetryBudget credits the retry budget for one new request.
+func (d *Dispatcher) earnRetryBudget() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.budget = d.budget.Earned()
+	d.retryBudget = d.retryBudget.Earned()
 }
 
-// spend takes one repeat from the budget.
-func (d *Dispatcher) spend() bool {
+// spendRetry takes one retry from the budget and reports whether there was one left.
+func (d *Dispatcher) spendRetry() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	next, ok := d.budget.Spent()
-	d.budget = next
+	next, ok := d.retryBudget.Spent()
+	d.retryBudget = next
 	if ok {
-		d.again.Inc()
+		d.repeatedAttempts.Inc()
 	}
 	return ok
 }
 
-// follow pulls newer configuration from a connection, once at a time for each.
-func (d *Dispatcher) follow(ctx context.Context, c *peer.Conn, revision int64) {
+// catchUp pulls the configuration from a peer whose revision is newer than the
+// entry's. It does nothing while another pull from the same peer is running.
+func (d *Dispatcher) catchUp(ctx context.Context, c *peer.Conn, revision int64) {
 	if revision <= d.holder.View().Revision() {
 		return
 	}
 	d.mu.Lock()
-	busy := d.pulling[c.Address()]
-	d.pulling[c.Address()] = true
+	pulling := d.pullingFrom[c.Address()]
+	d.pullingFrom[c.Address()] = true
 	d.mu.Unlock()
-	if busy {
+	if pulling {
 		return
 	}
 	defer func() {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		delete(d.pulling, c.Address())
+		delete(d.pullingFrom, c.Address())
 	}()
-	ctx, cancel := context.WithTimeout(ctx, followTimeout)
+	ctx, cancel := context.WithTimeout(ctx, catchUpTimeout)
 	defer cancel()
 	if err := spread.Pull(ctx, c, d.holder, spread.Pulled{}); err != nil {
-		d.log.Info("catching up failed", zap.String("From", c.Remote().Node), zap.Error(err))
+		d.log.Info("configuration pull from a newer peer failed; the entry keeps its revision", zap.String("From", c.Remote().Node), zap.Error(err))
 	}
 }
 
-// followTimeout bounds the pull of configuration that an endpoint already acts on.
-const followTimeout = time.Second
+// catchUpTimeout bounds the pull of configuration that an endpoint already applies.
+const catchUpTimeout = time.Second
--- a/internal/entry/calls/doc.go
+++ b/internal/entry/calls/doc.go
@@ -1,4 +1,4 @@
-// Package calls carries a request to its end: it sends attempts to endpoints,
-// collects their answers, and settles what became of each before the caller's
-// deadline.
+// Package calls dispatches requests: it sends attempts to endpoints, collects
+// their answers, retries within a budget, and determines before the caller's
+// deadline whether an unanswered attempt may have run.
 package calls
--- a/internal/entry/calls/inbox.go
+++ b/internal/entry/calls/inbox.go
@@ -9,86 +9,91 @@
 	"foxtailcroft/internal/link/wire"
 )
 
-// inbox collects one attempt's answer from whatever connection it comes on.
+// inbox reassembles one attempt's answer from the connections on which its pieces arrive.
 type inbox struct {
-	mu     sync.Mutex
-	ready  []wire.Piece
-	next   int
-	done   *wire.Done
-	digest *xxhash.Digest
-	signal chan struct{}
-	closed bool
+	mu          sync.Mutex
+	undelivered []wire.Piece
+	// nextSeq is the number of the next expected piece.
+	nextSeq int
+	done    *wire.Done
+	digest  *xxhash.Digest
+	changed chan struct{}
+	closed  bool
 }
 
 func newInbox() *inbox {
-	return &inbox{digest: xxhash.New(), signal: make(chan struct{}, 1)}
+	return &inbox{digest: xxhash.New(), changed: make(chan struct{}, 1)}
 }
 
-// piece takes the next piece and drops one that came before; a gap is dropped
-// too, and the missing pieces are asked for when the answer is closed.
-func (i *inbox) piece(p wire.Piece) {
+// addPiece adds the next piece in sequence and drops any other: a duplicate, or
+// a piece after a gap, which is requested again at the end of the answer.
+func (i *inbox) addPiece(p wire.Piece) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if i.closed || p.Seq != i.next {
+	if i.closed || p.Seq != i.nextSeq {
 		return
 	}
-	i.next++
-	i.ready = append(i.ready, p)
-	// A hash never fails to take bytes.
+	i.nextSeq++
+	i.undelivered = append(i.undelivered, p)
+	// Writing to a hash never fails.
 	_, _ = i.digest.Write(p.Data)
-	i.wake()
+	i.notifyReader()
 }
 
-func (i *inbox) finish(d wire.Done) {
+// setDone records the end of the answer.
+func (i *inbox) setDone(d wire.Done) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if i.closed {
 		return
 	}
 	i.done = &d
-	i.wake()
+	i.notifyReader()
 }
 
-func (i *inbox) wake() {
+func (i *inbox) notifyReader() {
 	select {
-	case i.signal <- struct{}{}:
+	case i.changed <- struct{}{}:
 	default:
 	}
 }
 
-// take returns the pieces that came since the last call, and the end of the answer if it is whole.
-func (i *inbox) take() (pieces []wire.Piece, done *wire.Done, missing bool) {
+// takeNew returns the pieces that arrived since the last call, and the end of
+// the answer if all pieces have arrived. If the end arrived before some piece,
+// missing is true and the end is discarded until the answer is sent again.
+func (i *inbox) takeNew() (pieces []wire.Piece, done *wire.Done, missing bool) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	pieces, i.ready = i.ready, nil
+	pieces, i.undelivered = i.undelivered, nil
 	if i.done == nil {
 		return pieces, nil, false
 	}
-	if i.next < i.done.Pieces {
+	if i.nextSeq < i.done.Pieces {
 		i.done = nil
 		return pieces, nil, true
 	}
 	return pieces, i.done, false
 }
 
-// verify checks a whole answer against the agent's count and digest.
+// verify checks an answer against the agent's piece count and digest and returns
+// nil if they match.
 func (i *inbox) verify(d *wire.Done) *fault.Refusal {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if d.Pieces == i.next && d.Digest == i.digest.Sum64() {
+	if d.Pieces == i.nextSeq && d.Digest == i.digest.Sum64() {
 		return nil
 	}
-	return fault.Failed(fault.EndpointLost, "answer of %d pieces does not match its digest", i.next)
+	return fault.Failed(fault.EndpointLost, "answer of %d pieces does not match its digest", i.nextSeq)
 }
 
-// from returns the number of the next piece.
-func (i *inbox) from() int {
+// resumeSeq returns the number of the piece at which the agent resumes the answer.
+func (i *inbox) resumeSeq() int {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return i.next
+	return i.nextSeq
 }
 
-// close drops whatever still comes for the attempt.
+// close makes the inbox drop all later messages of the attempt.
 func (i *inbox) close() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
--- a/internal/entry/calls/inbox_test.go
+++ b/internal/entry/calls/inbox_test.go
@@ -9,32 +9,33 @@
 	"foxtailcroft/internal/link/wire"
 )
 
-// TestInbox delivers pieces late, doubled, crossed and truncated.
+// TestInbox checks that an answer whose pieces are duplicated, sent again or
+// missing is reassembled without repeats or gaps, or reported as incomplete.
 func TestInbox(t *testing.T) {
 	whole := []string{"one ", "two ", "three"}
 	cases := []struct {
 		name string
-		// seqs are the pieces in the order in which they come.
+		// seqs are the piece numbers in the order of arrival.
 		seqs    []int
 		text    string
 		missing bool
 	}{
 		{"in order", []int{0, 1, 2}, "one two three", false},
-		{"doubled", []int{0, 0, 1, 1, 0, 2, 2}, "one two three", false},
+		{"duplicated", []int{0, 0, 1, 1, 0, 2, 2}, "one two three", false},
 		{"sent again from the start", []int{0, 1, 0, 1, 2}, "one two three", false},
 		{"one missing", []int{0, 2}, "one ", true},
 		{"truncated", []int{0, 1}, "one two ", true},
-		{"nothing came", nil, "", true},
+		{"no piece arrived", nil, "", true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
 			in := newInbox()
 			for _, seq := range c.seqs {
-				in.piece(wire.Piece{Seq: seq, Data: []byte(whole[seq])})
+				in.addPiece(wire.Piece{Seq: seq, Data: []byte(whole[seq])})
 			}
-			in.finish(wire.Done{Pieces: len(whole), Digest: xxhash.Sum64String("one two three")})
-			pieces, done, missing := in.take()
+			in.setDone(wire.Done{Pieces: len(whole), Digest: xxhash.Sum64String("one two three")})
+			pieces, done, missing := in.takeNew()
 			text := ""
 			for _, p := range pieces {
 				text += string(p.Data)
@@ -51,9 +52,9 @@
 func TestInboxRefusesAnswerThatDoesNotMatchItsDigest(t *testing.T) {
 	g := NewWithT(t)
 	in := newInbox()
-	in.piece(wire.Piece{Seq: 0, Data: []byte("another's answer")})
-	in.finish(wire.Done{Pieces: 1, Digest: xxhash.Sum64String("its own answer")})
-	_, done, _ := in.take()
+	in.addPiece(wire.Piece{Seq: 0, Data: []byte("another's answer")})
+	in.setDone(wire.Done{Pieces: 1, Digest: xxhash.Sum64String("its own answer")})
+	_, done, _ := in.takeNew()
 	g.Expect(in.verify(done)).NotTo(BeNil())
 }
 
@@ -61,9 +62,9 @@
 	g := NewWithT(t)
 	in := newInbox()
 	in.close()
-	in.piece(wire.Piece{Seq: 0, Data: []byte("late")})
-	in.finish(wire.Done{Pieces: 1})
-	pieces, done, _ := in.take()
+	in.addPiece(wire.Piece{Seq: 0, Data: []byte("late")})
+	in.setDone(wire.Done{Pieces: 1})
+	pieces, done, _ := in.takeNew()
 	g.Expect(pieces).To(BeEmpty())
 	g.Expect(done).To(BeNil())
 }
--- a/internal/entry/calls/request.go
+++ b/internal/entry/calls/request.go
@@ -8,36 +8,38 @@
 	"foxtailcroft/internal/link/wire"
 )
 
-// Request is one caller's request.
+// Request is one request of a caller, parsed and checked.
 type Request struct {
 	ID       string
 	Class    kinds.Class
 	Deadline time.Time
 	Target   route.Target
 	Adapter  string
-	// Plain is set for calls of plain services.
-	Plain *wire.PlainCall
-	Key   string
-	Body  []byte
+	// PlainCall is set for calls of plain services, and nil for chat completions.
+	PlainCall *wire.PlainCall
+	// IdempotencyKey is empty unless the call's method isn't idempotent and the caller sent a key.
+	IdempotencyKey string
+	Body           []byte
 }
 
-// idempotent reports whether the request may be attempted again after one attempt may have run.
+// idempotent reports whether the request may be sent again after an attempt that may have run.
 func (r Request) idempotent() bool {
-	return r.Plain == nil || r.Plain.Idempotent
+	return r.PlainCall == nil || r.PlainCall.Idempotent
 }
 
-// Sink receives an answer in order, each piece once.
+// Sink receives the pieces of an answer, in order and each once.
 type Sink interface {
-	// Piece passes on a piece; an error means that the caller has gone.
-	Piece(p wire.Piece) error
+	// WritePiece passes a piece to the caller; an error means that the caller has gone.
+	WritePiece(p wire.Piece) error
 }
 
-// Result tells how a whole answer came about.
+// Result describes how a request was answered.
 type Result struct {
-	Finish   string
-	Endpoint string
-	Attempts int
-	// Cold is true if the request waited for a load.
-	Cold     bool
+	FinishReason string
+	Endpoint     string
+	Attempts     int
+	// ColdStart is true if the request waited for its model to load.
+	ColdStart bool
+	// Replayed is true if the answer was recorded earlier for the same idempotency key.
 	Replayed bool
 }
--- a/internal/entry/calls/search.go
+++ b/internal/entry/calls/search.go
@@ -8,55 +8,59 @@
 	"foxtailcroft/internal/core/plan"
 )
 
+// minSearchDelay and maxSearchDelay bound the exponential backoff between
+// rounds over the endpoints.
 const (
-	firstPause = 100 * time.Millisecond
-	maxPause   = time.Second
+	minSearchDelay = 100 * time.Millisecond
+	maxSearchDelay = time.Second
 )
 
-// search goes from endpoint to endpoint for one request.
-type search struct {
-	node     plan.Node
-	tried    map[string]bool
-	redirect string
-	last     *fault.Refusal
-	pause    time.Duration
+// endpointSearch chooses the endpoints of one request's attempts, one after another.
+type endpointSearch struct {
+	node        plan.Node
+	tried       map[string]bool
+	redirectTo  string
+	lastRefusal *fault.Refusal
+	delay       time.Duration
 }
 
-// next moves to the endpoint of the next attempt: where the last one pointed,
-// else the best one not yet tried, else any again after a pause.
-func (s *search) next(ctx context.Context, d *Dispatcher, req Request) bool {
-	if s.last != nil && !s.last.NotRun && !d.spend() {
+// next sets node to the endpoint of the next attempt: the one that the last
+// refusal redirects to, else the best one not tried yet, else any again after a
+// backoff. It reports false if the retry budget, the deadline or the last refusal
+// forbids another attempt.
+func (s *endpointSearch) next(ctx context.Context, d *Dispatcher, req Request) bool {
+	if s.lastRefusal != nil && !s.lastRefusal.NotRun && !d.spendRetry() {
 		return false
 	}
 	for {
-		if s.choose(d, req) {
+		if s.chooseNode(d, req) {
 			return true
 		}
-		if s.last != nil && !transient(s.last.Code) && s.last.NotRun {
+		if s.lastRefusal != nil && !isTransient(s.lastRefusal.Code) && s.lastRefusal.NotRun {
 			return false
 		}
 		deadline, _ := ctx.Deadline()
-		if time.Until(deadline) < 2*s.pause {
+		if time.Until(deadline) < 2*s.delay {
 			return false
 		}
 		select {
-		case <-time.After(s.pause):
+		case <-time.After(s.delay):
 		case <-ctx.Done():
 			return false
 		}
-		s.pause = min(maxPause, 2*s.pause)
+		s.delay = min(maxSearchDelay, 2*s.delay)
 		s.tried = map[string]bool{}
 	}
 }
 
-// choose sets the node, if there is one that was not tried.
-func (s *search) choose(d *Dispatcher, req Request) bool {
+// chooseNode sets node to an endpoint that wasn't tried in this round, and reports whether there is one.
+func (s *endpointSearch) chooseNode(d *Dispatcher, req Request) bool {
 	v := d.holder.View()
-	node, ok := v.Node(s.redirect)
+	node, ok := v.Node(s.redirectTo)
 	if !ok || s.tried[node.Name] {
 		node, ok = d.table.Pick(v, req.Target, s.tried)
 	}
-	s.redirect = ""
+	s.redirectTo = ""
 	if ok {
 		s.node = node
 		s.tried[node.Name] = true
@@ -64,18 +68,19 @@
 	return ok
 }
 
-// failed notes how an attempt ended. Once an attempt may have run, the whole request may have.
-func (s *search) failed(r *fault.Refusal) {
-	s.redirect = r.Endpoint
-	next := *r
-	if s.last != nil && !s.last.NotRun {
-		next.NotRun = false
+// recordRefusal records an attempt's refusal. Once one attempt may have run, the
+// refusal of the whole request says so too.
+func (s *endpointSearch) recordRefusal(r *fault.Refusal) {
+	s.redirectTo = r.Endpoint
+	refusal := *r
+	if s.lastRefusal != nil && !s.lastRefusal.NotRun {
+		refusal.NotRun = false
 	}
-	s.last = &next
+	s.lastRefusal = &refusal
 }
 
-// transient reports whether the same endpoints may soon answer differently.
-func transient(c fault.Code) bool {
+// isTransient reports whether the same endpoints may soon accept the request.
+func isTransient(c fault.Code) bool {
 	switch c {
 	case fault.Draining, fault.Deposed, fault.NoSlot, fault.NoEndpoint, fault.EndpointLost, fault.EngineFailed, fault.StoreAway, fault.Revoked:
 		return true
@@ -83,17 +88,17 @@
 	return false
 }
 
-// refusal words the end of a request without an answer.
-func (s *search) refusal(ctx context.Context, req Request) *fault.Refusal {
+// finalRefusal returns the refusal of a request that got no answer.
+func (s *endpointSearch) finalRefusal(ctx context.Context, req Request) *fault.Refusal {
 	switch {
-	case s.last == nil && ctx.Err() == nil:
+	case s.lastRefusal == nil && ctx.Err() == nil:
 		return fault.NotRun(fault.NoEndpoint, "no endpoint serves %q now", req.Target.Model+req.Target.Service).WithRetryAfter(time.Second)
-	case s.last == nil:
+	case s.lastRefusal == nil:
 		return fault.NotRun(fault.DeadlineExceeded, "no endpoint for %q was found in time", req.Target.Model+req.Target.Service)
-	case !s.last.NotRun && !req.idempotent():
-		out := *s.last
+	case !s.lastRefusal.NotRun && !req.idempotent():
+		out := *s.lastRefusal
 		out.Code = fault.Unsettled
 		return &out
 	}
-	return s.last
+	return s.lastRefusal
 }
--- a/internal/entry/desk/doc.go
+++ b/internal/entry/desk/doc.go
@@ -1,2 +1,3 @@
-// Package desk grants the permits of a region's weight store loads at one entry.
+// Package desk serves the permits that agents of a region must hold while they
+// load weights from the weight store; one entry grants them.
 package desk
--- a/internal/entry/route/table.go
+++ b/internal/entry/route/table.go
@@ -77,7 +77,7 @@
 func (t *Table) TrackSent(endpoint string, target Target) func() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	k := t.knownLoad(endpoint, target)
+	k := t.loadRecord(endpoint, target)
 	k.sentSinceReport++
 	return sync.OnceFunc(func() {
 		t.mu.Lock()
@@ -86,14 +86,14 @@
 	})
 }
 
-// knownLoad returns the load record of a target at an endpoint and creates it if
+// loadRecord returns the load record of a target at an endpoint and creates it if
 // needed; the caller must hold mu.
-func (t *Table) knownLoad(endpoint string, target Target) *knownLoad {
-	key := loadKey{endpoint, target.loadName()}
-	k := t.loads[key]
+func (t *Table) loadRecord(endpoint string, target Target) *knownLoad {
+	id := loadKey{endpoint, target.loadName()}
+	k := t.loads[id]
 	if k == nil {
 		k = &knownLoad{}
-		t.loads[key] = k
+		t.loads[id] = k
 	}
 	return k
 }
@@ -102,7 +102,7 @@
 func (t *Table) RecordLoad(endpoint string, target Target, load wire.Load) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	k := t.knownLoad(endpoint, target)
+	k := t.loadRecord(endpoint, target)
 	k.load, k.reportedAt = load, time.Now()
 	// The report includes this entry's requests that have arrived, so only later ones are added to it.
 	k.sentSinceReport = 0
