--- a/internal/entry/admin/status.go
+++ b/internal/entry/admin/status.go
@@ -94,8 +94,8 @@
 const (
 	// agentCallTimeout bounds one call to an agent or a relay.
 	agentCallTimeout = 1500 * time.Millisecond
-	// maxConcurrentReports bounds the concurrent calls to agents or relays.
-	maxConcurrentReports = 16
+	// maxConcurrentCalls bounds the concurrent calls to agents or relays.
+	maxConcurrentCalls = 16
 )
 
 // Reporter gathers status from agents and relays.
@@ -118,7 +118,7 @@
 	v := r.holder.View()
 	var mu sync.Mutex
 	out := map[string]wire.Report{}
-	workers := pool.New().WithMaxGoroutines(maxConcurrentReports)
+	workers := pool.New().WithMaxGoroutines(maxConcurrentCalls)
 	for _, name := range names {
 		node, ok := v.Node(name)
 		if !ok {
@@ -167,7 +167,7 @@
 		}
 	}
 	merge(r.relay.Applied(ctx))
-	workers := pool.New().WithMaxGoroutines(maxConcurrentReports)
+	workers := pool.New().WithMaxGoroutines(maxConcurrentCalls)
 	for _, nodes := range domains {
 		for _, relay := range spread.Rank(nodes)[:min(spread.Parents, len(nodes))] {
 			workers.Go(func() { merge(r.appliedRevisions(ctx, relay)) })
--- a/internal/entry/placer/endpoints.go
+++ b/internal/entry/placer/endpoints.go
@@ -9,7 +9,7 @@
 
 // endpointSet holds the endpoints that one planning step may place slots on.
 type endpointSet struct {
-	endpoints map[string]*place.Endpoint
+	byName map[string]*place.Endpoint
 	// cacheTiers holds, by endpoint and model, where the checkpoint is cached: "memory" or "disk".
 	cacheTiers map[string]map[string]string
 }
@@ -17,10 +17,10 @@
 // newEndpointSet returns the engine endpoints that aren't leaving, each with the
 // memory promised to its planned slots.
 func newEndpointSet(v *view.View, leaving map[string]bool, cacheTiers map[string]map[string]string) *endpointSet {
-	set := &endpointSet{endpoints: map[string]*place.Endpoint{}, cacheTiers: cacheTiers}
+	set := &endpointSet{byName: map[string]*place.Endpoint{}, cacheTiers: cacheTiers}
 	for name, n := range v.Nodes() {
 		if isEngineAgent(n) && !leaving[name] {
-			set.endpoints[name] = &place.Endpoint{Name: name, Domain: n.Domain, MemoryBytes: n.MemoryBytes}
+			set.byName[name] = &place.Endpoint{Name: name, Domain: n.Domain, MemoryBytes: n.MemoryBytes}
 		}
 	}
 	for name, m := range v.Models() {
@@ -38,7 +38,7 @@
 
 // addPromised adds bytes to the memory promised on an endpoint, if the set has it.
 func (set *endpointSet) addPromised(endpoint string, bytes int64) {
-	if e := set.endpoints[endpoint]; e != nil {
+	if e := set.byName[endpoint]; e != nil {
 		e.Promised += bytes
 	}
 }
@@ -53,8 +53,8 @@
 		need.Taken = append(need.Taken, s.Domain)
 		need.Used = append(need.Used, s.Endpoint)
 	}
-	candidates := make([]place.Endpoint, 0, len(set.endpoints))
-	for name, e := range set.endpoints {
+	candidates := make([]place.Endpoint, 0, len(set.byName))
+	for name, e := range set.byName {
 		candidate := *e
 		candidate.Near = cacheTierRanks[set.cacheTiers[name][m.Name]]
 		candidates = append(candidates, candidate)
@@ -85,7 +85,7 @@
 // slotFits reports whether a slot's endpoint is available, large enough for the
 // model, and in a domain that the model allows.
 func (set *endpointSet) slotFits(m kinds.Resource, s plan.Slot) bool {
-	e := set.endpoints[s.Endpoint]
+	e := set.byName[s.Endpoint]
 	return e != nil && e.MemoryBytes >= m.Model.MemoryBytes && set.domainAllowed(m, s)
 }
 
