--- a/internal/entry/calls/inbox_test.go
+++ b/internal/entry/calls/inbox_test.go
@@ -21,7 +21,7 @@
 		missing bool
 	}{
 		{"in order", []int{0, 1, 2}, "one two three", false},
-		{"pieces duplicated", []int{0, 0, 1, 1, 0, 2, 2}, "one two three", false},
+		{"doubled", []int{0, 0, 1, 1, 0, 2, 2}, "one two three", false},
 		{"sent again from the start", []int{0, 1, 0, 1, 2}, "one two three", false},
 		{"one missing", []int{0, 2}, "one ", true},
 		{"truncated", []int{0, 1}, "one two ", true},
