--- a/internal/policy/swap/bench_test.go
+++ b/internal/policy/swap/bench_test.go
@@ -9,12 +9,12 @@
 	"foxtailcroft/internal/core/site"
 )
 
-// BenchmarkDecide takes one decision in a fleet where a third of the demand is
-// short of copies and a tenth of the models is waited for.
+// BenchmarkDecide measures one decision in a fleet where a third of the demand
+// lacks copies and a tenth of the models is wanted.
 func BenchmarkDecide(b *testing.B) {
 	for _, size := range []struct{ servers, models int }{{12, 39}, {43, 133}, {1000, 1300}} {
 		b.Run(fmt.Sprintf("servers=%d", size.servers), func(b *testing.B) {
-			in := drawn(size.servers, size.models)
+			in := randomInput(size.servers, size.models)
 			for b.Loop() {
 				Decide(in)
 			}
@@ -22,7 +22,7 @@
 	}
 }
 
-func drawn(servers, models int) Input {
+func randomInput(servers, models int) Input {
 	rnd := rand.New(rand.NewPCG(1, 2))
 	e := &site.Engine{Slots: 64, WeightsMB: 220000, AdapterPlaces: 8, LoadsPerSecond: 9}
 	for i := range models {
--- a/internal/policy/swap/goals.go
+++ b/internal/policy/swap/goals.go
@@ -6,51 +6,51 @@
 	"slices"
 )
 
-// goal is a copy that is to be had.
-type goal struct {
+// loadGoal is a model of which one more copy is to be loaded.
+type loadGoal struct {
 	want Want
-	// limit is the waiting in seconds that the copy may cost others.
-	limit float64
-	// saves ranks goals that compete for the weight store.
-	saves float64
-	// more is set if the model has copies already.
-	more bool
+	// maxCost is the cost in seconds of waiting below which the load is worth it.
+	maxCost float64
+	// savedSeconds is the waiting time that the copy saves; it ranks goals that compete for the weight store.
+	savedSeconds float64
+	// extraCopy is set if the model already has copies.
+	extraCopy bool
 }
 
 const (
-	// absent is the waiting in seconds that counts for a request that is not served: longer waits are given up.
-	absent = 3.0
-	// leastGain is the waiting in seconds from which one more copy of a model is looked for.
-	leastGain = 1.0
+	// unservedWaitSeconds is the waiting time charged for a request that is not served, because callers give up longer waits.
+	unservedWaitSeconds = 3.0
+	// minGainSeconds is the saved waiting time above which one more copy of a model is worth planning.
+	minGainSeconds = 1.0
 )
 
-// fetches orders what is worth a load from the weight store by the waiting that
-// it saves: all of a wanted model that nobody has, and what copies of busy ones spare.
-func (d *decision) fetches(shorts []goal) []goal {
-	out := slices.Clone(shorts)
+// storeGoals returns the goals worth a load from the weight store, the largest
+// saving first: extra copies save queueing, and wanted models save the whole wait.
+func (d *decision) storeGoals(extraCopies []loadGoal) []loadGoal {
+	goals := slices.Clone(extraCopies)
 	for _, w := range d.Wants {
-		out = append(out, goal{want: w, limit: math.Inf(1), saves: absent * max(w.Weight, d.Demand[w.Model].Rate*horizon.Seconds())})
+		goals = append(goals, loadGoal{want: w, maxCost: math.Inf(1), savedSeconds: unservedWaitSeconds * max(w.Weight, d.Demand[w.Model].Rate*costHorizon.Seconds())})
 	}
-	slices.SortStableFunc(out, func(a, b goal) int { return cmp.Compare(b.saves, a.saves) })
-	return out
+	slices.SortStableFunc(goals, func(a, b loadGoal) int { return cmp.Compare(b.savedSeconds, a.savedSeconds) })
+	return goals
 }
 
-// shorts are the models that one more copy spares waiting, the most urgent first.
-func (d *decision) shorts() []goal {
-	var list []goal
-	for model, asked := range d.Demand {
-		m := d.of(model)
-		have := m.serving + m.coming
-		if have <= 0 || m.servers >= len(d.Servers) || d.catalogue[model] == nil {
+// extraCopyGoals returns the models for which one more copy saves enough waiting, the largest saving first.
+func (d *decision) extraCopyGoals() []loadGoal {
+	var goals []loadGoal
+	for model, demand := range d.Demand {
+		m := d.summary(model)
+		copies := m.servingCopies + m.pendingCopies
+		if copies <= 0 || m.serverCount >= len(d.Servers) || d.catalogue[model] == nil {
 			continue
 		}
-		gain := d.shared(asked, have) - d.shared(asked, have+1) + pauses*m.slowest*asked.Rate*horizon.Seconds()
-		if gain > leastGain {
-			list = append(list, goal{want: Want{Model: model}, limit: gain, saves: gain, more: true})
+		gain := d.queueWaitSeconds(demand, copies) - d.queueWaitSeconds(demand, copies+1) + pausePenaltySeconds*m.minPauseRisk*demand.Rate*costHorizon.Seconds()
+		if gain > minGainSeconds {
+			goals = append(goals, loadGoal{want: Want{Model: model}, maxCost: gain, savedSeconds: gain, extraCopy: true})
 		}
 	}
-	slices.SortFunc(list, func(a, b goal) int {
-		return cmp.Or(cmp.Compare(b.saves, a.saves), cmp.Compare(a.want.Model, b.want.Model))
+	slices.SortFunc(goals, func(a, b loadGoal) int {
+		return cmp.Or(cmp.Compare(b.savedSeconds, a.savedSeconds), cmp.Compare(a.want.Model, b.want.Model))
 	})
-	return list
+	return goals
 }
--- a/internal/policy/swap/swap.go
+++ b/internal/policy/swap/swap.go
@@ -9,81 +9,82 @@
 	"foxtailcroft/internal/core/site"
 )
 
-// Copy is a model that a server holds.
+// Copy is one model loaded on a server.
 type Copy struct {
 	Model    string
 	InFlight int
-	// Age is the time since it was loaded, and Idle that since its last use.
+	// Age is the time since the load, and Idle the time since the last use.
 	Age  time.Duration
 	Idle time.Duration
 }
 
-// Server is a model server as the planner believes it to be.
+// Server is the planner's view of a model server.
 type Server struct {
 	ID     string
 	Copies []Copy
-	// Engaged servers carry out an order, or their state is not known; they get none.
+	// Engaged is set while the server carries out an order or its state is not known; it then gets no new order.
 	Engaged bool
-	// FreeIn is the forecast for when an engaged server can take an action, negative if not known.
+	// FreeIn is the forecast time until an engaged server can take an action, negative if not known.
 	FreeIn time.Duration
-	// Awaited is the model that an engaged server is about to have.
+	// Awaited is the model that an engaged server is loading, empty if none.
 	Awaited  string
 	OnDisk   []string
 	InMemory []string
-	// Slow is the chance, 0 to 1, that a long prompt makes the streams there pause for too long.
+	// Slow is the probability, 0 to 1, that a long prompt makes streams on this server pause for too long.
 	Slow float64
 }
 
-// Want is a model that requests wait for.
+// Want is a model with waiting requests.
 type Want struct {
 	Model string
-	// Weight is what a second of waiting costs, such as the number of requests that wait.
+	// Weight is the cost of a second of waiting, such as the number of waiting requests.
 	Weight float64
-	// Waited is how long the first of them has waited.
+	// Waited is the waiting time of the oldest request.
 	Waited time.Duration
 }
 
-// Input is all that a decision depends on.
+// Input holds everything that a decision depends on.
 type Input struct {
 	Engine  *site.Engine
 	Servers []Server
 	Wants   []Want
-	// Demand is what is asked of each model.
+	// Demand holds the recent demand by model.
 	Demand map[string]Demand
-	// Keep forbids evictions, and loads from the weight store of what a server
-	// has at hand or may have, while too little is known.
+	// Keep forbids evictions, and loads from the weight store of models whose
+	// weights a server has or, while its state is unknown, may have. The planner
+	// sets it while it knows too little.
 	Keep bool
-	// StoreLoads is the number of loads from the weight store that may begin now, and Loading those that run.
+	// StoreLoads is the number of loads from the weight store that may begin now, and Loading the number running.
 	StoreLoads int
 	Loading    int
-	// AtOnce is how many loads from the weight store are believed to run at full speed side by side.
+	// AtOnce is the estimated number of concurrent loads that the weight store serves at full speed.
 	AtOnce int
 }
 
-// Demand is what is asked of a model.
+// Demand is the recent demand for a model.
 type Demand struct {
-	// Rate is requests a second.
+	// Rate is the number of requests per second.
 	Rate float64
-	// Each is the time that a server takes to read the prompt of one of them, 0 if not known.
+	// Each is the prefill time per request, 0 if not known.
 	Each time.Duration
-	// Adapters is the number of its adapters in use.
+	// Adapters is the number of the model's adapters in use.
 	Adapters int
 }
 
-// Action makes a server unload models and then load one.
+// Action is an order to a server to unload the models in Evict and then load one.
 type Action struct {
 	Server string
 	Evict  []string
 	Load   string
-	// Source tells where the weights come from.
+	// Source is where the weights are loaded from.
 	Source Source
-	// Takes is the forecast until the model serves.
+	// Takes is the forecast time until the model serves.
 	Takes time.Duration
-	// Later marks a forecast: the server is engaged, and is to be decided on again once it is free.
+	// Later marks a deferred load: the server is engaged or has no room yet, and the load is decided again once that changes.
 	Later bool
 }
 
-// Source is where a server finds weights.
+// Source is the place from which a server loads weights.
 type Source int
 
 // The sources of weights, slowest first.
@@ -93,149 +94,153 @@
 	FromMemory
 )
 
-// Decide returns at most one action for each server and each model: wanted
-// models and copies of busy ones from servers' own memory or disk, then loads from the
-// weight store in the order of what they gain, then models that no server has. A model is
-// not loaded from the store if an engaged server that has its weights will have it sooner.
+// Decide returns at most one action for each model and, deferred loads aside,
+// for each server. It plans wanted models and extra copies of busy models from
+// servers' memory or disk first, then loads from the weight store by the waiting
+// they save, then models that no server holds. A wanted model is not loaded from
+// the store if a server that has its weights is forecast to serve it sooner.
 func Decide(in Input) []Action {
 	slices.SortStableFunc(in.Wants, func(a, b Want) int {
 		return cmp.Or(cmp.Compare(b.Weight, a.Weight), cmp.Compare(a.Model, b.Model))
 	})
 	d := newDecision(in)
 	for _, w := range d.Wants {
-		d.try(goal{want: w, limit: math.Inf(1)}, FromDisk)
+		d.tryGoal(loadGoal{want: w, maxCost: math.Inf(1)}, FromDisk)
 	}
-	shorts := d.shorts()
-	for _, g := range shorts {
-		d.try(g, FromDisk)
+	extraCopies := d.extraCopyGoals()
+	for _, g := range extraCopies {
+		d.tryGoal(g, FromDisk)
 	}
-	for _, g := range d.fetches(shorts) {
-		d.try(g, FromStore)
+	for _, g := range d.storeGoals(extraCopies) {
+		d.tryGoal(g, FromStore)
 	}
-	d.cover()
+	d.preloadMissing()
 	return d.actions
 }
 
-// decision is a decision in the making.
+// decision is the state of one call of Decide.
 type decision struct {
 	Input
 	index
-	// used are the servers that have an action, and chosen the models.
-	used    map[string]bool
-	chosen  map[string]bool
-	actions []Action
+	// usedServers and chosenModels are the servers and models that have an action.
+	usedServers  map[string]bool
+	chosenModels map[string]bool
+	actions      []Action
 }
 
 func newDecision(in Input) *decision {
-	return &decision{Input: in, index: newIndex(&in), used: map[string]bool{}, chosen: map[string]bool{}}
+	return &decision{Input: in, index: newIndex(&in), usedServers: map[string]bool{}, chosenModels: map[string]bool{}}
 }
 
-// take adds an action.
-func (d *decision) take(s *Server, a Action) {
-	d.used[a.Server], d.chosen[a.Load] = true, true
+// addAction adds an action and updates the limits and the summaries of evicted models.
+func (d *decision) addAction(s *Server, a Action) {
+	d.usedServers[a.Server], d.chosenModels[a.Load] = true, true
 	if a.Source == FromStore {
 		d.StoreLoads--
 		d.Loading++
 	}
 	for _, m := range a.Evict {
-		d.of(m).serving -= s.worth()
+		d.summary(m).servingCopies -= s.copyWeight()
 	}
 	d.actions = append(d.actions, a)
 }
 
-// try takes the cheapest way to a goal if it costs less than its limit; the
-// weights come from a source at least as fast as the slowest one allowed.
-func (d *decision) try(g goal, slowest Source) {
-	if d.chosen[g.want.Model] || !g.more && d.of(g.want.Model).coming > 0 {
+// tryGoal adds the cheapest load for a goal if it costs less than the goal's
+// maxCost. The weights come from a source at least as fast as slowest.
+func (d *decision) tryGoal(g loadGoal, slowestSource Source) {
+	if d.chosenModels[g.want.Model] || !g.extraCopy && d.summary(g.want.Model).pendingCopies > 0 {
 		return
 	}
-	if d.Keep && slowest == FromStore && (d.unknown > 0 || d.of(g.want.Model).anywhere) {
+	if d.Keep && slowestSource == FromStore && (d.unknownServers > 0 || d.summary(g.want.Model).hasLocalWeights) {
 		return
 	}
-	best, s, cost := d.best(g.want, slowest)
-	if slowest == FromStore && !g.more {
-		if later, sooner := d.later(g.want); sooner && (s == nil || later.Takes < best.Takes) {
-			d.chosen[later.Load] = true
-			d.actions = append(d.actions, later)
+	best, s, cost := d.cheapestLoad(g.want, slowestSource)
+	if slowestSource == FromStore && !g.extraCopy {
+		if deferred, sooner := d.deferredLoad(g.want); sooner && (s == nil || deferred.Takes < best.Takes) {
+			d.chosenModels[deferred.Load] = true
+			d.actions = append(d.actions, deferred)
 			return
 		}
 	}
-	if s != nil && cost < g.limit {
-		d.take(s, best)
+	if s != nil && cost < g.maxCost {
+		d.addAction(s, best)
 	}
 }
 
-// best returns the cheapest way to a model, its server and its cost; the server is nil if nothing fits.
-func (d *decision) best(w Want, slowest Source) (best Action, at *Server, least float64) {
+// cheapestLoad returns the cheapest load of a model, its server and its cost in
+// seconds of waiting. The server is nil if none can load the model.
+func (d *decision) cheapestLoad(w Want, slowest Source) (best Action, server *Server, least float64) {
 	model := d.catalogue[w.Model]
 	if model == nil {
 		return Action{}, nil, 0
 	}
 	for i := range d.Servers {
 		s := &d.Servers[i]
-		if s.Engaged || d.used[s.ID] {
+		if s.Engaged || d.usedServers[s.ID] {
 			continue
 		}
-		a, cost, fits := d.at(s, model, w, slowest)
-		if fits && (at == nil || cost < least) {
-			best, at, least = a, s, cost
+		a, cost, fits := d.loadAt(s, model, w, slowest)
+		if fits && (server == nil || cost < least) {
+			best, server, least = a, s, cost
 		}
 	}
-	return best, at, least
+	return best, server, least
 }
 
-// later returns what a server with a model's weights at hand can do once it is free and has room.
-// Room that requests take longer to leave than forecast is not waited for again and again.
-func (d *decision) later(w Want) (best Action, ok bool) {
+// deferredLoad returns the soonest load of a model by a server that has its weights
+// but is engaged or lacks room. After maxRoomWait it no longer waits for room,
+// because running requests may take longer than forecast again and again.
+func (d *decision) deferredLoad(w Want) (best Action, ok bool) {
 	model := d.catalogue[w.Model]
 	if model == nil {
 		return Action{}, false
 	}
 	for i := range d.Servers {
 		s := &d.Servers[i]
-		source, takes := d.load(s, model)
-		if source == FromStore || s.Engaged && s.FreeIn < 0 || !s.Engaged && w.Waited > roomPatience || s.holds(w.Model) {
+		source, readyIn := d.weightSource(s, model)
+		if source == FromStore || s.Engaged && s.FreeIn < 0 || !s.Engaged && w.Waited > maxRoomWait || s.holds(w.Model) {
 			continue
 		}
-		wait, fits := d.roomIn(s, model)
-		if takes += max(wait, s.FreeIn); fits && (!ok || takes < best.Takes) {
-			best, ok = Action{Server: s.ID, Load: w.Model, Source: source, Takes: takes, Later: true}, true
+		wait, fits := d.timeToRoom(s, model)
+		if readyIn += max(wait, s.FreeIn); fits && (!ok || readyIn < best.Takes) {
+			best, ok = Action{Server: s.ID, Load: w.Model, Source: source, Takes: readyIn, Later: true}, true
 		}
 	}
 	return best, ok
 }
 
-// cover loads models that no server has where there is room for them, so that
-// a first request finds them; from the weight store one at a time and only
-// while nothing is wanted.
-func (d *decision) cover() {
+// preloadMissing loads models that no server holds into free memory, so that
+// their first request finds them loaded. It uses the weight store for one load
+// at a time, and only while no model is wanted.
+func (d *decision) preloadMissing() {
 	for i := range d.Engine.Models {
 		model := &d.Engine.Models[i]
-		if m := d.of(model.Name); m.serving > 0 || m.coming > 0 || m.wanted || d.chosen[model.Name] {
+		if m := d.summary(model.Name); m.servingCopies > 0 || m.pendingCopies > 0 || m.wanted || d.chosenModels[model.Name] {
 			continue
 		}
-		// A place at the weight store is kept for what may be wanted next.
+		// Keep one concurrent load of the weight store free for the next wanted model.
 		slowest := FromDisk
 		if d.Loading == 0 && len(d.Wants) == 0 && !d.Keep && (d.AtOnce > 1 || len(d.Demand) == 0) {
 			slowest = FromStore
 		}
-		if a, s := d.spare(model, slowest); s != nil {
-			d.take(s, a)
+		if a, s := d.fastestSpareLoad(model, slowest); s != nil {
+			d.addAction(s, a)
 		}
 	}
 }
 
-// spare returns the quickest way to a model at a server that has room for it; the server is nil if none has.
-func (d *decision) spare(model *site.Model, slowest Source) (best Action, at *Server) {
+// fastestSpareLoad returns the fastest load of a model without evictions and its
+// server. The server is nil if none can load the model.
+func (d *decision) fastestSpareLoad(model *site.Model, slowest Source) (best Action, server *Server) {
 	for i := range d.Servers {
 		s := &d.Servers[i]
-		if s.Engaged || d.used[s.ID] || d.free(s) < model.SizeMB+d.reserve(s, model) {
+		if s.Engaged || d.usedServers[s.ID] || d.freeMB(s) < model.SizeMB+d.adapterReserveMB(s, model) {
 			continue
 		}
-		a, _, ok := d.at(s, model, Want{Model: model.Name}, slowest)
-		if ok && (at == nil || a.Takes < best.Takes) {
-			best, at = a, s
+		a, _, ok := d.loadAt(s, model, Want{Model: model.Name}, slowest)
+		if ok && (server == nil || a.Takes < best.Takes) {
+			best, server = a, s
 		}
 	}
-	return best, at
+	return best, server
 }
--- a/internal/policy/swap/swap_test.go
+++ b/internal/policy/swap/swap_test.go
@@ -13,7 +13,7 @@
 	"foxtailcroft/internal/core/site"
 )
 
-// catalogue is an engine like that of the sites: three models fit a server.
+// catalogue returns an engine like those of the sites: three models fit a server.
 func catalogue(models int) *site.Engine {
 	e := &site.Engine{Slots: 64, WeightsMB: 220000, AdapterPlaces: 8, LoadsPerSecond: 2.1}
 	for i := range models {
@@ -26,127 +26,127 @@
 }
 
 func TestDecisions(t *testing.T) {
-	old := time.Minute
+	settled := time.Minute
 	held := func(model string, inFlight int) Copy {
-		return Copy{Model: model, InFlight: inFlight, Age: old, Idle: old}
+		return Copy{Model: model, InFlight: inFlight, Age: settled, Idle: settled}
 	}
 	cases := []struct {
 		name string
 		in   Input
 		want []Action
 	}{
-		{"a free place and the disk first", Input{
+		{"loads from disk into free memory before the weight store", Input{
 			Wants: []Want{{Model: "m5", Weight: 1}}, StoreLoads: 4,
 			Servers: []Server{{ID: "a", Copies: []Copy{held("m0", 0)}}, {ID: "b", Copies: []Copy{held("m1", 0)}, OnDisk: []string{"m5"}}},
 		}, []Action{{Server: "b", Load: "m5", Source: FromDisk, Takes: 840 * time.Millisecond}}},
-		{"the copy that is one too many makes way, not the last one", Input{
+		{"evicts a model with another copy rather than a last copy", Input{
 			Wants: []Want{{Model: "m5", Weight: 1}}, Demand: map[string]Demand{"m0": {Rate: 1}, "m1": {Rate: 0.5}, "m2": {Rate: 0.5}},
 			Servers: []Server{
 				{ID: "a", Copies: []Copy{held("m0", 0), held("m1", 0), held("m2", 0)}, OnDisk: []string{"m5"}},
 				{ID: "b", Copies: []Copy{held("m0", 0), held("m3", 0), held("m4", 0)}},
 			},
 		}, []Action{{Server: "a", Evict: []string{"m0"}, Load: "m5", Source: FromDisk, Takes: 890 * time.Millisecond}}},
-		{"nothing that runs requests makes way, only a forecast says when there is room", Input{
+		{"does not evict busy copies and returns a deferred load instead", Input{
 			Wants:   []Want{{Model: "m5", Weight: 1}},
 			Servers: []Server{{ID: "a", Copies: []Copy{held("m0", 3), held("m1", 9), held("m2", 5)}, OnDisk: []string{"m5"}}},
 		}, []Action{{Server: "a", Load: "m5", Source: FromDisk, Takes: 5390 * time.Millisecond, Later: true}}},
-		{"no second load of a model that is on its way", Input{
+		{"does not load a wanted model that another server is loading", Input{
 			Wants: []Want{{Model: "m5", Weight: 1}}, StoreLoads: 4,
 			Servers: []Server{{ID: "a", Engaged: true, Awaited: "m5"}, {ID: "b", OnDisk: []string{"m5"}}},
 		}, nil},
-		{"a copy that serves does not make way for one that is still being loaded", Input{
+		{"does not evict the only serving copy while another one is loading", Input{
 			Wants: []Want{{Model: "m5", Weight: 1}}, Demand: map[string]Demand{"m0": {Rate: 3}, "m1": {Rate: 0.5}},
 			Servers: []Server{
 				{ID: "a", Copies: []Copy{held("m0", 0), held("m1", 0), held("m2", 0)}, OnDisk: []string{"m5", "m2"}},
 				{ID: "b", Engaged: true, Awaited: "m0", FreeIn: 4 * time.Second},
 			},
 		}, []Action{{Server: "a", Evict: []string{"m2"}, Load: "m5", Source: FromDisk, Takes: 890 * time.Millisecond}}},
-		{"a long load not where adapters are asked for", Input{
+		{"loads from the store on the server without adapters in use", Input{
 			Wants: []Want{{Model: "m5", Weight: 1}}, StoreLoads: 1, Demand: map[string]Demand{"m0": {Rate: 1, Adapters: 6}, "m1": {Rate: 1}},
 			Servers: []Server{{ID: "a", Copies: []Copy{held("m0", 0)}}, {ID: "b", Copies: []Copy{held("m1", 0)}}},
 		}, []Action{{Server: "b", Load: "m5", Source: FromStore, Takes: 6 * time.Second}}},
-		{"no load from the store if a server with the weights is free sooner", Input{
+		{"defers to an engaged server with the weights that is free sooner than a store load ends", Input{
 			Wants: []Want{{Model: "m5", Weight: 1}}, StoreLoads: 4,
 			Servers: []Server{{ID: "a", Engaged: true, Awaited: "m1", FreeIn: 600 * time.Millisecond, OnDisk: []string{"m5"}}, {ID: "b"}},
 		}, []Action{{Server: "a", Load: "m5", Source: FromDisk, Takes: 1440 * time.Millisecond, Later: true}}},
-		{"but if nobody knows when it will be free", Input{
+		{"loads from the store if the time until that server is free is not known", Input{
 			Wants: []Want{{Model: "m5", Weight: 1}}, StoreLoads: 4,
 			Servers: []Server{{ID: "a", Engaged: true, FreeIn: -1, OnDisk: []string{"m5"}}, {ID: "b"}},
 		}, []Action{{Server: "b", Load: "m5", Source: FromStore, Takes: 6 * time.Second}}},
-		{"a load from the store not at the server that alone has another wanted model", Input{
+		{"does not load from the store on the only server with the weights of a model in demand", Input{
 			Wants: []Want{{Model: "m5", Weight: 2}}, StoreLoads: 1, Demand: map[string]Demand{"m4": {Rate: 0.5}},
 			Servers: []Server{{ID: "a", OnDisk: []string{"m4"}}, {ID: "b", Copies: []Copy{held("m1", 0)}, OnDisk: []string{"m1"}}},
 		}, []Action{{Server: "b", Load: "m5", Source: FromStore, Takes: 6 * time.Second}, {Server: "a", Load: "m4", Source: FromDisk, Takes: 840 * time.Millisecond}}},
-		{"no load from the store if a server with the weights has room soon", Input{
+		{"defers to a server with the weights that has room soon", Input{
 			Wants: []Want{{Model: "m5", Weight: 1}}, StoreLoads: 4,
 			Servers: []Server{
 				{ID: "a", Copies: []Copy{{Model: "m0", Age: time.Second}, held("m1", 5), held("m2", 5)}, OnDisk: []string{"m5"}}, {ID: "b"},
 			},
 		}, []Action{{Server: "a", Load: "m5", Source: FromDisk, Takes: 1390 * time.Millisecond, Later: true}}},
-		{"but not for ever", Input{
+		{"loads from the store once the model has waited too long for room", Input{
 			Wants: []Want{{Model: "m5", Weight: 1, Waited: 2 * time.Second}}, StoreLoads: 4,
 			Servers: []Server{
 				{ID: "a", Copies: []Copy{{Model: "m0", Age: time.Second}, held("m1", 5), held("m2", 5)}, OnDisk: []string{"m5"}}, {ID: "b"},
 			},
 		}, []Action{{Server: "b", Load: "m5", Source: FromStore, Takes: 6 * time.Second}}},
-		{"a load from the store not at the server that alone has a model which may be asked for", Input{
+		{"does not load from the store on the only server with the weights of a model without demand", Input{
 			Wants: []Want{{Model: "m5", Weight: 2}}, StoreLoads: 1, Demand: map[string]Demand{"m0": {Rate: 1}},
 			Servers: []Server{
 				{ID: "a", OnDisk: []string{"m4"}}, {ID: "b", Copies: []Copy{held("m0", 0)}, OnDisk: []string{"m0"}}, {ID: "c", Copies: []Copy{held("m1", 0), held("m2", 0), held("m3", 0)}},
 			},
 		}, []Action{{Server: "b", Load: "m5", Source: FromStore, Takes: 6 * time.Second}, {Server: "a", Load: "m4", Source: FromDisk, Takes: 840 * time.Millisecond}}},
-		{"no load from the store before enough is known", Input{
+		{"Keep: no load from the store while the state of a server is not known", Input{
 			Wants: []Want{{Model: "m5", Weight: 1}}, StoreLoads: 4, Keep: true, Servers: []Server{{ID: "a"}, {ID: "b", Engaged: true, FreeIn: -1}},
 		}, nil},
-		{"nor of what a server has that is about to be free", Input{
+		{"Keep: no load from the store of a model whose weights a server has", Input{
 			Wants: []Want{{Model: "m5", Weight: 1}}, StoreLoads: 4, Keep: true,
 			Servers: []Server{{ID: "a"}, {ID: "b", Copies: []Copy{held("m0", 0), held("m1", 0), held("m2", 0)}, OnDisk: []string{"m5"}}},
 		}, nil},
-		{"but of what nobody has", Input{
+		{"Keep: loads from the store what no server has", Input{
 			Wants: []Want{{Model: "m5", Weight: 1}}, StoreLoads: 4, Keep: true, Servers: []Server{{ID: "a"}},
 		}, []Action{{Server: "a", Load: "m5", Source: FromStore, Takes: 6 * time.Second}}},
-		{"no load from the store beyond its rate", Input{
+		{"no load from the store while none may begin", Input{
 			Wants: []Want{{Model: "m5", Weight: 1}}, Servers: []Server{{ID: "a", Copies: []Copy{held("m0", 0)}}},
 		}, nil},
-		{"a busy model gets the copies that its demand needs", Input{
+		{"loads an extra copy of a busy model", Input{
 			Demand: map[string]Demand{"m0": {Rate: 8}},
 			Servers: []Server{
 				{ID: "a", Copies: []Copy{held("m0", 9)}},
 				{ID: "b", Copies: []Copy{held("m1", 0), held("m2", 0), held("m3", 0)}, OnDisk: []string{"m0"}},
 			},
 		}, []Action{{Server: "b", Evict: []string{"m1"}, Load: "m0", Source: FromDisk, Takes: 890 * time.Millisecond}}},
-		{"a model that nobody has is loaded where there is room", Input{
+		{"preloads a model that no server holds into free memory", Input{
 			Servers: []Server{{ID: "a", Copies: []Copy{held("m0", 0)}, OnDisk: []string{"m1"}}},
 		}, []Action{{Server: "a", Load: "m1", Source: FromDisk, Takes: 840 * time.Millisecond}}},
-		{"the one load from the store goes to the busy model that nobody has", Input{
+		{"gives the only store load to the busy model without copies", Input{
 			Wants: []Want{{Model: "m4", Weight: 1}, {Model: "m5", Weight: 6}}, StoreLoads: 1, AtOnce: 1,
 			Demand:  map[string]Demand{"m5": {Rate: 10}, "m4": {Rate: 0.1}, "m0": {Rate: 8}},
 			Servers: []Server{{ID: "a", Copies: []Copy{held("m0", 9)}}, {ID: "b", Copies: []Copy{held("m1", 0)}}},
 		}, []Action{{Server: "a", Load: "m5", Source: FromStore, Takes: 6 * time.Second}}},
-		{"and to the busy model with one copy before a rare one", Input{
+		{"gives the only store load to a busy model with one copy before a rare model without", Input{
 			Wants: []Want{{Model: "m4", Weight: 1}}, StoreLoads: 1, AtOnce: 1, Demand: map[string]Demand{"m0": {Rate: 16}, "m4": {Rate: 0.1}},
 			Servers: []Server{{ID: "a", Copies: []Copy{held("m0", 9)}}, {ID: "b", Copies: []Copy{held("m1", 0)}}},
 		}, []Action{{Server: "b", Load: "m0", Source: FromStore, Takes: 6 * time.Second}}},
-		{"a busy model whose one copy is where streams pause gets another", Input{
+		{"loads an extra copy of a busy model whose only copy is where streams pause", Input{
 			Demand: map[string]Demand{"m0": {Rate: 3}},
 			Servers: []Server{
 				{ID: "a", Slow: 1, Copies: []Copy{held("m0", 4)}, OnDisk: []string{"m0"}},
 				{ID: "b", Copies: []Copy{held("m1", 0), held("m2", 0), held("m3", 0)}, OnDisk: []string{"m0"}},
 			},
 		}, []Action{{Server: "b", Evict: []string{"m1"}, Load: "m0", Source: FromDisk, Takes: 890 * time.Millisecond}}},
-		{"a busy model goes where streams do not pause, also if that takes longer", Input{
+		{"loads a busy model where streams do not pause, even if the load takes longer", Input{
 			Wants: []Want{{Model: "m0", Weight: 2}}, Demand: map[string]Demand{"m0": {Rate: 3}},
 			Servers: []Server{
 				{ID: "a", Slow: 1, InMemory: []string{"m0"}}, {ID: "b", OnDisk: []string{"m0"}},
 			},
 		}, []Action{{Server: "b", Load: "m0", Source: FromDisk, Takes: 840 * time.Millisecond}}},
-		{"a rare one does not mind", Input{
+		{"loads a rare model where the load is fastest, even if streams pause there", Input{
 			Wants: []Want{{Model: "m0", Weight: 1}}, Demand: map[string]Demand{"m0": {Rate: 0.1}},
 			Servers: []Server{
 				{ID: "a", Slow: 1, InMemory: []string{"m0"}}, {ID: "b", OnDisk: []string{"m0"}},
 			},
 		}, []Action{{Server: "a", Load: "m0", Source: FromMemory, Takes: 400 * time.Millisecond}}},
-		{"a planner that knows no demand yet evicts nothing", Input{
+		{"Keep: evicts nothing", Input{
 			Keep: true, Wants: []Want{{Model: "m5", Weight: 1}},
 			Servers: []Server{{ID: "a", Copies: []Copy{held("m0", 0), held("m1", 0), held("m2", 0)}, OnDisk: []string{"m5"}}},
 		}, nil},
@@ -159,8 +159,8 @@
 	}
 }
 
-// TestDecisionsStayInBounds draws states: no server gets two orders or more
-// than fits, and nothing that is wanted or runs requests makes way.
+// TestDecisionsStayInBounds checks on random inputs that no server gets two orders
+// or more than fits, and that no wanted or busy model is evicted.
 func TestDecisionsStayInBounds(t *testing.T) {
 	engine := catalogue(12)
 	name := func(i int) string { return fmt.Sprintf("m%d", i) }
@@ -189,14 +189,14 @@
 			if a.Later {
 				continue
 			}
-			g.Expect(seen[a.Server]).To(BeFalse(), "one action a server")
+			g.Expect(seen[a.Server]).To(BeFalse(), "a server gets at most one action")
 			seen[a.Server] = true
 			i := slices.IndexFunc(in.Servers, func(s Server) bool { return s.ID == a.Server })
 			used := 0.0
 			for _, c := range in.Servers[i].Copies {
 				if slices.Contains(a.Evict, c.Model) {
-					g.Expect(c.InFlight).To(BeNumerically("<=", maxInFlight))
-					g.Expect(newDecision(in).of(c.Model).wanted).To(BeFalse())
+					g.Expect(c.InFlight).To(BeNumerically("<=", maxEvictInFlight))
+					g.Expect(newDecision(in).summary(c.Model).wanted).To(BeFalse())
 					continue
 				}
 				used += 72700
@@ -212,44 +212,44 @@
 	})
 }
 
-// TestRareAndBusyModelsTogether plays the sites' load: 39 models on 36 places,
-// two busy models that move on, and rare ones asked for at any time. Most rare
-// requests find their model within the goal, and busy models keep the copies
-// that their demand needs; without the demand they lose them.
+// TestRareAndBusyModelsTogether simulates the load of the sites: 39 models in memory for
+// 36, two busy models that change over time, and rare requests at any time. Most
+// rare requests must find their model within the goal of 2.5 s, and busy models
+// must keep enough copies, which they lose if the policy doesn't know the demand.
 func TestRareAndBusyModelsTogether(t *testing.T) {
 	g := NewWithT(t)
-	with := playDay(7, true)
-	without := playDay(7, false)
-	t.Logf("seed 7: rare in time %.3f, busy copies short %.3f of the time; without demand %.3f and %.3f",
-		with.rareInTime, with.busyShort, without.rareInTime, without.busyShort)
-	g.Expect(with.rareInTime).To(BeNumerically(">=", 0.9), "the quote's goal is 2.5 s")
-	g.Expect(with.busyShort).To(BeNumerically("<=", 0.25))
-	g.Expect(without.busyShort).To(BeNumerically(">", with.busyShort))
+	with := simulateDay(7, true)
+	without := simulateDay(7, false)
+	t.Logf("seed 7: share of rare requests in time %.3f, share of time with too few busy copies %.3f; without known demand %.3f and %.3f",
+		with.rareInTimeShare, with.busyShortShare, without.rareInTimeShare, without.busyShortShare)
+	g.Expect(with.rareInTimeShare).To(BeNumerically(">=", 0.9), "share of rare requests whose model is loaded within 2.5 s")
+	g.Expect(with.busyShortShare).To(BeNumerically("<=", 0.25))
+	g.Expect(without.busyShortShare).To(BeNumerically(">", with.busyShortShare))
 }
 
-type day struct {
-	rareInTime float64
-	busyShort  float64
+type dayResult struct {
+	rareInTimeShare float64
+	busyShortShare  float64
 }
 
-// fleet is a small simulation of model servers that swap by the policy.
-type fleet struct {
-	engine  *site.Engine
-	servers []Server
-	ready   []time.Duration
-	asked   map[string][]time.Duration
+// simulatedFleet simulates model servers that load and evict models by the policy.
+type simulatedFleet struct {
+	engine       *site.Engine
+	servers      []Server
+	readyAt      []time.Duration
+	waitingSince map[string][]time.Duration
 }
 
 const (
-	tick     = 50 * time.Millisecond
-	dayTime  = 40 * time.Second
-	rareRate = 3.2
-	busyRate = 8.0
-	patience = 2500 * time.Millisecond
+	tick                  = 50 * time.Millisecond
+	dayLength             = 40 * time.Second
+	rareRequestsPerSecond = 3.2
+	busyRequestsPerSecond = 8.0
+	rareWaitGoal          = 2500 * time.Millisecond
 )
 
-func newFleet(rnd *rand.Rand) *fleet {
-	f := &fleet{engine: catalogue(39), asked: map[string][]time.Duration{}, ready: make([]time.Duration, 12)}
+func newSimulatedFleet(rnd *rand.Rand) *simulatedFleet {
+	f := &simulatedFleet{engine: catalogue(39), waitingSince: map[string][]time.Duration{}, readyAt: make([]time.Duration, 12)}
 	for i := range 12 {
 		s := Server{ID: fmt.Sprintf("s%02d", i)}
 		for _, m := range []int{i % 3, 3 + 2*i, 4 + 2*i} {
@@ -264,15 +264,15 @@
 	return f
 }
 
-// advance lets a tick pass; loads that end put their model in place.
-func (f *fleet) advance(now time.Duration) {
+// advance moves the simulation by one tick and completes the loads that are due.
+func (f *simulatedFleet) advance(now time.Duration) {
 	for i := range f.servers {
 		s := &f.servers[i]
 		for j := range s.Copies {
 			s.Copies[j].Age += tick
 			s.Copies[j].Idle += tick
 		}
-		if s.Engaged && now >= f.ready[i] {
+		if s.Engaged && now >= f.readyAt[i] {
 			s.Copies = append(s.Copies, Copy{Model: s.Awaited})
 			s.OnDisk = append(s.OnDisk, s.Awaited)
 			s.Engaged, s.Awaited = false, ""
@@ -280,7 +280,7 @@
 	}
 }
 
-func (f *fleet) carryOut(list []Action, now time.Duration) {
+func (f *simulatedFleet) startLoads(list []Action, now time.Duration) {
 	for _, a := range list {
 		if a.Later {
 			continue
@@ -288,26 +288,26 @@
 		i := slices.IndexFunc(f.servers, func(s Server) bool { return s.ID == a.Server })
 		s := &f.servers[i]
 		s.Copies = slices.DeleteFunc(s.Copies, func(c Copy) bool { return slices.Contains(a.Evict, c.Model) })
-		s.Engaged, s.Awaited, f.ready[i] = true, a.Load, now+a.Takes
+		s.Engaged, s.Awaited, f.readyAt[i] = true, a.Load, now+a.Takes
 	}
 }
 
-func (f *fleet) holds(model string) bool {
+func (f *simulatedFleet) holds(model string) bool {
 	in := Input{Engine: f.engine, Servers: f.servers}
 	return slices.ContainsFunc(in.Servers, func(s Server) bool {
 		return slices.ContainsFunc(s.Copies, func(c Copy) bool { return c.Model == model })
 	})
 }
 
-func playDay(seed uint64, knowsDemand bool) day {
+func simulateDay(seed uint64, knowsDemand bool) dayResult {
 	rnd := rand.New(rand.NewPCG(seed, 1))
-	f := newFleet(rnd)
+	f := newSimulatedFleet(rnd)
 	var served, rare, short, looks int
 	waiting := map[string][]time.Duration{}
-	for now := time.Duration(0); now < dayTime; now += tick {
+	for now := time.Duration(0); now < dayLength; now += tick {
 		f.advance(now)
 		busy := []string{fmt.Sprintf("m%d", int(now/(13*time.Second))), fmt.Sprintf("m%d", 1+int(now/(13*time.Second)))}
-		if rnd.Float64() < rareRate*tick.Seconds() {
+		if rnd.Float64() < rareRequestsPerSecond*tick.Seconds() {
 			m := fmt.Sprintf("m%d", 5+rnd.IntN(34))
 			waiting[m] = append(waiting[m], now)
 			rare++
@@ -319,7 +319,7 @@
 				continue
 			}
 			for _, at := range since {
-				if now-at <= patience {
+				if now-at <= rareWaitGoal {
 					served++
 				}
 			}
@@ -327,17 +327,17 @@
 		}
 		for _, m := range busy {
 			if knowsDemand {
-				in.Demand[m] = Demand{Rate: busyRate}
+				in.Demand[m] = Demand{Rate: busyRequestsPerSecond}
 			}
 			if !f.holds(m) {
-				in.Wants = append(in.Wants, Want{Model: m, Weight: busyRate})
+				in.Wants = append(in.Wants, Want{Model: m, Weight: busyRequestsPerSecond})
 			}
 			looks++
-			if x := newDecision(in).of(m); x.serving+x.coming < 3 {
+			if x := newDecision(in).summary(m); x.servingCopies+x.pendingCopies < 3 {
 				short++
 			}
 		}
-		f.carryOut(Decide(in), now)
+		f.startLoads(Decide(in), now)
 	}
-	return day{rareInTime: float64(served) / float64(rare), busyShort: float64(short) / float64(looks)}
+	return dayResult{rareInTimeShare: float64(served) / float64(rare), busyShortShare: float64(short) / float64(looks)}
 }
