--- a/internal/policy/choose/choose.go
+++ b/internal/policy/choose/choose.go
@@ -5,113 +5,119 @@
 // Candidate is one instance that could serve a request.
 type Candidate struct {
 	ID string
-	// Near instances are in the entry's own failure domain.
+	// Near is set if the instance is in the entry's own failure domain.
 	Near bool
-	// Connected is set if there is a connection to it to use.
+	// Connected is set if the entry has an open connection to the instance.
 	Connected bool
 	Slots     int
-	// InFlight are the entry's own requests there, and Reported all requests that the instance last reported.
+	// InFlight counts the entry's own requests there, and Reported all requests in the instance's last report.
 	InFlight int
 	Reported int
-	// Reading is the time to read the prompts of the entry's requests there that have not answered yet.
+	// Reading is the prefill time of the entry's requests there that have no answer yet.
 	Reading time.Duration
-	// Missing is the time to read what the instance has not read of this request's prompt.
+	// Missing is the prefill time of the part of this request's prompt that the instance has not cached.
 	Missing time.Duration
-	// LongRead is the reading time without a break from which streams that run
-	// beside may pause for too long; 0 if streams may pause.
+	// LongRead is the uninterrupted prefill time above which other streams on
+	// the instance may pause for too long, 0 if streams may pause.
 	LongRead time.Duration
-	// PauseRisk is the chance that a long read makes a stream there pause for too long, 0 if not known.
+	// PauseRisk is the probability that a long prefill makes a stream there pause for too long, 0 if not known.
 	PauseRisk float64
-	// Failing is the recent share of failed requests, 0 to 1.
+	// Failing is the recent share of failed requests, from 0 to 1.
 	Failing float64
-	// Answers is the usual time until an answer begins, 0 if not known.
+	// Answers is the usual time to the start of an answer, 0 if not known.
 	Answers time.Duration
 }
 
 const (
-	// sharing is the cost in milliseconds of one more request that runs beside this one.
-	sharing = 1.0
-	// crossing is the cost in milliseconds of leaving the failure domain.
-	crossing = 4.0
-	// connecting is the cost in milliseconds of a new connection: its way, and the server's time for it.
-	connecting = 5.0
-	// queueing is the cost in milliseconds of each request beyond the slots.
-	queueing = 40.0
-	// late is the cost in milliseconds of a request that is not served in time.
-	late = 1000.0
-	// usualRisk is the chance of a pause at a server of which none is known.
-	usualRisk = 0.01
-	// longPrompt is the length, in long reads, from which a prompt alone makes
-	// streams pause, and mostRisk the most that this is taken to be likely.
-	longPrompt = 1.5
-	mostRisk   = 0.5
-	// exposure is the chance that a long prompt is read beside a stream while it runs.
-	exposure = 0.25
-	// failing is the cost in milliseconds of an instance that fails all requests.
-	failing = 4000.0
+	// concurrentCostMs is the cost of each request already running on the instance.
+	concurrentCostMs = 1.0
+	// crossDomainCostMs is the cost of leaving the failure domain.
+	crossDomainCostMs = 4.0
+	// connectCostMs is the cost of a new connection: the network round trip and the server's work for it.
+	connectCostMs = 5.0
+	// queuedCostMs is the cost of each request beyond the slots.
+	queuedCostMs = 40.0
+	// lateCostMs is the cost of a request that is not served in time.
+	lateCostMs = 1000.0
+	// defaultPauseRisk is the minimum probability of a pause after a long prefill, also where no risk is known.
+	defaultPauseRisk = 0.01
+	// longPromptRatio is the prefill time, in multiples of LongRead, above which
+	// a prompt alone may make streams pause. maxLengthRisk bounds the
+	// probability assumed for that.
+	longPromptRatio = 1.5
+	maxLengthRisk   = 0.5
+	// overlapProbability is the probability that a long prefill runs on the instance during a stream.
+	overlapProbability = 0.25
+	// failureCostMs is the cost of an instance that fails all requests.
+	failureCostMs = 4000.0
 )
 
-// Cost returns the expected milliseconds until the request is served there, with penalties.
+// Cost returns the expected time to serve the request on this instance in
+// milliseconds, with penalties for load, failures and pauses.
 func (c Candidate) Cost() float64 {
 	running := max(c.InFlight, c.Reported)
-	cost := float64((c.Missing + c.Reading).Milliseconds()) + sharing*float64(running) + failing*c.Failing
+	cost := float64((c.Missing + c.Reading).Milliseconds()) + concurrentCostMs*float64(running) + failureCostMs*c.Failing
 	if c.Slots > 0 && running >= c.Slots {
-		cost += queueing * float64(running-c.Slots+1)
+		cost += queuedCostMs * float64(running-c.Slots+1)
 	}
 	if c.LongRead > 0 {
-		cost += late * c.pauses(running)
+		cost += lateCostMs * c.expectedPauses(running)
 	}
 	if !c.Near {
-		cost += crossing
+		cost += crossDomainCostMs
 	}
 	if !c.Connected {
-		cost += connecting
+		cost += connectCostMs
 	}
 	return cost + float64(c.Answers.Milliseconds())/2
 }
 
-// pauses forecasts how many streams pause for too long if the request goes there: itself and those that run.
-func (c Candidate) pauses(running int) float64 {
+// expectedPauses returns the expected number of streams that pause for too long
+// if the request goes there, among the running ones and its own.
+func (c Candidate) expectedPauses(running int) float64 {
 	if c.Missing+c.Reading > c.LongRead {
-		return max(usualRisk, c.PauseRisk, c.lengthRisk()) * float64(1+running)
+		return max(defaultPauseRisk, c.PauseRisk, c.lengthRisk()) * float64(1+running)
 	}
-	return exposure * c.PauseRisk
+	return overlapProbability * c.PauseRisk
 }
 
-// lengthRisk is the chance that the prompt by itself makes streams pause: the
-// steps that read a prompt take the longer the more of it was read before.
+// lengthRisk returns the probability that the prompt alone makes streams pause:
+// each prefill step takes longer the more of the prompt was read before it.
 func (c Candidate) lengthRisk() float64 {
-	return min(mostRisk, max(0, float64(c.Missing)/float64(c.LongRead)-longPrompt))
+	return min(maxLengthRisk, max(0, float64(c.Missing)/float64(c.LongRead)-longPromptRatio))
 }
 
-// Risk returns the chance of a pause beyond what is allowed at a server with a known longest pause.
+// Risk returns the probability of a pause longer than allowed at a server with
+// the given longest pause. It is 0 if any pause is allowed.
 func Risk(longest, allowed time.Duration) float64 {
 	if allowed <= 0 {
 		return 0
 	}
-	return min(1, max(0, (float64(longest)/float64(allowed)-riskFrom)/(1-riskFrom)))
+	return min(1, max(0, (float64(longest)/float64(allowed)-riskFromShare)/(1-riskFromShare)))
 }
 
-// riskFrom is the share of the allowed pause from which a known pause counts as a risk; it is certain at the whole.
-const riskFrom = 0.9
+// riskFromShare is the share of the allowed pause above which a known pause
+// counts as a risk. The risk rises linearly to 1 at the allowed pause.
+const riskFromShare = 0.9
 
-// LongRead returns the reading time without a break that a server may take
-// while streams may pause for a time: an event waits for several steps, each of
-// which reads a piece of the prompt.
+// LongRead returns the uninterrupted prefill time that a server may take if
+// streams may pause for the given time. A stream's event waits for several
+// steps, each of which reads a chunk of the prompt.
 func LongRead(pause time.Duration) time.Duration {
-	return time.Duration(float64(pause) * pauseShare)
+	return time.Duration(float64(pause) * prefillPauseShare)
 }
 
-// pauseShare is the part of a pause that is left for reading prompts beside the steps themselves.
-const pauseShare = 0.55
+// prefillPauseShare is the share of a pause that is left for prefill; the steps themselves take the rest.
+const prefillPauseShare = 0.55
 
-// Best returns the index of the cheapest candidate, -1 if there is none; draw breaks near ties.
-func Best(list []Candidate, draw func() float64) int {
-	best, least := -1, 0.0
-	for i, c := range list {
-		cost := c.Cost() + draw()*sharing
-		if best < 0 || cost < least {
-			best, least = i, cost
+// Best returns the index of the cheapest candidate, -1 if there is none. random
+// returns values from 0 to 1 that break near ties.
+func Best(candidates []Candidate, random func() float64) int {
+	best, leastCost := -1, 0.0
+	for i, c := range candidates {
+		cost := c.Cost() + random()*concurrentCostMs
+		if best < 0 || cost < leastCost {
+			best, leastCost = i, cost
 		}
 	}
 	return best
--- a/internal/policy/choose/doc.go
+++ b/internal/policy/choose/doc.go
@@ -1,4 +1,5 @@
-// Package choose picks the instance for one request from what an entry knows:
-// its own requests in flight, the load that instances report, failures, and which
-// parts of the prompt each server has read before.
+// Package choose picks the instance for one request by expected cost. The cost
+// covers the entry's own requests in flight, the load that instances report,
+// recent failures, and the part of the prompt that is not in an instance's
+// prefix cache.
 package choose
--- a/internal/policy/keep/crowd.go
+++ b/internal/policy/keep/crowd.go
@@ -2,41 +2,43 @@
 
 import "time"
 
-// crowdWeight is the weight of a new crowd in the mean.
-const crowdWeight = 0.05
+// burstSmoothing is the weight of a new burst in the moving average.
+const burstSmoothing = 0.05
 
-// Crowd learns how long all requests together wait in one cold start: a burst
-// at every router makes many wait for the same load.
+// Crowd is an exponentially weighted moving average of the total time that
+// requests wait in one cold start. A burst at every router makes many requests
+// wait for the same load.
 type Crowd struct {
-	began   time.Time
-	current time.Duration
-	mean    time.Duration
+	startedAt   time.Time
+	currentWait time.Duration
+	meanWait    time.Duration
 }
 
-// Arrived counts an arrival; quiet says that nothing ran or waited before it.
-// It counts whether or not the replica was loaded.
-func (c *Crowd) Arrived(now time.Time, quiet bool, cold time.Duration) {
-	if quiet {
-		c.close()
-		c.began, c.current = now, cold
+// Arrived records an arrival, whether or not the replica is loaded. idle is set
+// if no request ran or waited before it, which starts a new burst.
+func (c *Crowd) Arrived(now time.Time, idle bool, loadTime time.Duration) {
+	if idle {
+		c.recordBurst()
+		c.startedAt, c.currentWait = now, loadTime
 		return
 	}
-	if since := now.Sub(c.began); since < cold {
-		c.current += cold - since
+	if since := now.Sub(c.startedAt); since < loadTime {
+		c.currentWait += loadTime - since
 	}
 }
 
-func (c *Crowd) close() {
+// recordBurst adds the current burst to the average.
+func (c *Crowd) recordBurst() {
 	switch {
-	case c.current == 0:
-	case c.mean == 0:
-		c.mean = c.current
+	case c.currentWait == 0:
+	case c.meanWait == 0:
+		c.meanWait = c.currentWait
 	default:
-		c.mean += time.Duration(crowdWeight * float64(c.current-c.mean))
+		c.meanWait += time.Duration(burstSmoothing * float64(c.currentWait-c.meanWait))
 	}
 }
 
-// Wait returns the expected sum of the waits in one cold start, at least one load's time.
-func (c *Crowd) Wait(cold time.Duration) time.Duration {
-	return max(cold, c.mean)
+// Wait returns the expected total waiting time in one cold start, at least one load time.
+func (c *Crowd) Wait(loadTime time.Duration) time.Duration {
+	return max(loadTime, c.meanWait)
 }
--- a/internal/policy/keep/decide.go
+++ b/internal/policy/keep/decide.go
@@ -2,91 +2,94 @@
 
 import "time"
 
-// Costs are what the decision weighs.
+// Costs holds the costs that the keep-alive time balances.
 type Costs struct {
-	// ColdWait is the expected sum of all requests' waits in one cold start.
+	// ColdWait is the expected total waiting time of all requests in one cold start.
 	ColdWait time.Duration
-	// Price is how many idle accelerator seconds one second of cold start is worth.
+	// Price is the number of idle accelerator seconds that one second of waiting in a cold start is worth.
 	Price float64
-	// Max bounds the time that an idle replica stays loaded.
+	// Max bounds the time that an idle replica stays loaded; Alive takes 0 as DefaultMax.
 	Max time.Duration
 }
 
-// DefaultMax bounds keep-alive where no policy does.
+// DefaultMax bounds the keep-alive time if the policy sets no bound.
 const DefaultMax = 4 * time.Hour
 
-// minSeen is how many gaps are needed before their histogram decides.
-const minSeen = 6
+// minGapsSeen is the number of observed gaps below which Alive uses BreakEven instead of the histogram.
+const minGapsSeen = 6
 
-// BreakEven returns the time after which the idle cost equals one cold start:
-// keeping that long costs at most twice the best choice, whatever the gap.
+// BreakEven returns the idle time whose cost equals that of one cold start,
+// bounded by Max. Without that bound it costs at most twice the best choice for
+// any gap.
 func BreakEven(c Costs) time.Duration {
 	return min(c.Max, time.Duration(c.Price*float64(c.ColdWait)))
 }
 
-// Alive returns the time that an idle replica stays loaded at the least
+// Alive returns the time to keep an idle replica loaded at close to the least
 // expected cost under the observed gaps.
 func Alive(g *Gaps, c Costs) time.Duration {
 	if c.Max == 0 {
 		c.Max = DefaultMax
 	}
-	if g == nil || g.seen < minSeen {
+	if g == nil || g.seen < minGapsSeen {
 		return BreakEven(c)
 	}
-	return newTable(g, c).cheapest()
+	return newCostTable(g, c).cheapestKeepAlive()
 }
 
-// table holds prefix sums over the histogram's buckets.
-type table struct {
-	cold  float64
-	limit int
-	// count[i] and idle[i] sum the weights and the idle seconds of buckets before i.
-	count [bucketCount + 1]float64
-	idle  [bucketCount + 1]float64
+// costTable holds prefix sums over the histogram's buckets.
+type costTable struct {
+	// coldSeconds is the cost of one cold start in idle accelerator seconds.
+	coldSeconds float64
+	// maxBuckets is the largest number of buckets that the keep-alive time may cover.
+	maxBuckets int
+	// weightBefore[i] and idleSecondsBefore[i] sum the weights and the idle seconds of the buckets before i.
+	weightBefore      [bucketCount + 1]float64
+	idleSecondsBefore [bucketCount + 1]float64
 }
 
-func newTable(g *Gaps, c Costs) *table {
-	t := &table{cold: c.Price * c.ColdWait.Seconds()}
-	for i, n := range g.counts {
-		t.count[i+1] = t.count[i] + n
-		t.idle[i+1] = t.idle[i] + n*middle(i).Seconds()
-		if lower(i) <= c.Max {
-			t.limit = i
+func newCostTable(g *Gaps, c Costs) *costTable {
+	t := &costTable{coldSeconds: c.Price * c.ColdWait.Seconds()}
+	for i, n := range g.weights {
+		t.weightBefore[i+1] = t.weightBefore[i] + n
+		t.idleSecondsBefore[i+1] = t.idleSecondsBefore[i] + n*midpoint(i).Seconds()
+		if lowerEdge(i) <= c.Max {
+			t.maxBuckets = i
 		}
 	}
 	return t
 }
 
-// keepCost returns the cost of staying loaded through bucket n-1 and no longer.
-func (t *table) keepCost(n int) float64 {
-	missed := t.count[bucketCount] - t.count[n]
-	return t.idle[n] + missed*(edge(n).Seconds()+t.cold)
+// costOfKeeping returns the cost of staying loaded through the first n buckets and no longer.
+func (t *costTable) costOfKeeping(n int) float64 {
+	missed := t.weightBefore[bucketCount] - t.weightBefore[n]
+	return t.idleSecondsBefore[n] + missed*(timeCovered(n).Seconds()+t.coldSeconds)
 }
 
-// edge returns the time that covers the first n buckets.
-func edge(n int) time.Duration {
+// timeCovered returns the time that covers the first n buckets.
+func timeCovered(n int) time.Duration {
 	if n == 0 {
 		return 0
 	}
-	return upper(n - 1)
+	return upperEdge(n - 1)
 }
 
-// nearCheapest is how much dearer than the cheapest a longer time may be and
-// still be preferred: the estimate is no better than that, and a longer time
-// spares cold starts.
-const nearCheapest = 1.1
+// costTolerance is the ratio to the least cost up to which a longer keep-alive
+// time is preferred: the estimate is no more precise than that, and a longer
+// time avoids cold starts.
+const costTolerance = 1.1
 
-// cheapest returns the longest time to stay loaded whose cost is near the least.
-func (t *table) cheapest() time.Duration {
-	least := t.keepCost(0)
-	for n := 1; n <= t.limit; n++ {
-		least = min(least, t.keepCost(n))
+// cheapestKeepAlive returns the longest keep-alive time whose cost is within costTolerance of the least.
+func (t *costTable) cheapestKeepAlive() time.Duration {
+	least := t.costOfKeeping(0)
+	for n := 1; n <= t.maxBuckets; n++ {
+		least = min(least, t.costOfKeeping(n))
 	}
 	longest := 0
-	for n := 0; n <= t.limit; n++ {
-		if t.keepCost(n) <= nearCheapest*least {
+	for n := 0; n <= t.maxBuckets; n++ {
+		if t.costOfKeeping(n) <= costTolerance*least {
 			longest = n
 		}
 	}
-	return edge(longest)
+	return timeCovered(longest)
 }
--- a/internal/policy/keep/gaps.go
+++ b/internal/policy/keep/gaps.go
@@ -6,30 +6,32 @@
 )
 
 const (
-	// bucketsPerDoubling is the resolution of the gap histogram.
+	// bucketsPerDoubling is the number of histogram buckets per doubling of the gap.
 	bucketsPerDoubling = 4
-	// firstEdge is the upper edge of the first bucket.
-	firstEdge = time.Second
-	// bucketCount covers gaps up to firstEdge * 2^(bucketCount/bucketsPerDoubling), about nine days.
+	// firstUpperEdge is the upper edge of the first bucket.
+	firstUpperEdge = time.Second
+	// bucketCount covers gaps up to firstUpperEdge * 2^((bucketCount-1)/bucketsPerDoubling), about ten days;
+	// longer gaps count in the last bucket.
 	bucketCount = 80
-	// fading multiplies the old counts at each new gap, so that a change of habit shows within a few dozen gaps.
-	fading = 0.97
+	// decayPerGap multiplies the weights of earlier gaps at each new gap, so that a change in the traffic shows within a few dozen gaps.
+	decayPerGap = 0.97
 )
 
-// Gaps is a fading histogram of the time between the end of one request and the arrival of the next, by model.
+// Gaps is a decaying histogram of a model's idle gaps: the times between the end
+// of one request and the arrival of the next.
 type Gaps struct {
-	counts [bucketCount]float64
-	total  float64
-	seen   int
+	weights     [bucketCount]float64
+	totalWeight float64
+	seen        int
 }
 
 // Observe adds one gap.
 func (g *Gaps) Observe(gap time.Duration) {
-	for i := range g.counts {
-		g.counts[i] *= fading
+	for i := range g.weights {
+		g.weights[i] *= decayPerGap
 	}
-	g.counts[bucket(gap)]++
-	g.total = g.total*fading + 1
+	g.weights[bucketOf(gap)]++
+	g.totalWeight = g.totalWeight*decayPerGap + 1
 	g.seen++
 }
 
@@ -38,48 +40,50 @@
 	return g.seen
 }
 
-// SharePast returns the share of gaps longer than d.
-func (g *Gaps) SharePast(d time.Duration) float64 {
-	if g.total == 0 {
+// ShareLonger returns the share of gaps longer than d at the resolution of the buckets, 1 before the first gap.
+func (g *Gaps) ShareLonger(d time.Duration) float64 {
+	if g.totalWeight == 0 {
 		return 1
 	}
-	var past float64
-	for i := bucket(d) + 1; i < bucketCount; i++ {
-		past += g.counts[i]
+	var longer float64
+	for i := bucketOf(d) + 1; i < bucketCount; i++ {
+		longer += g.weights[i]
 	}
-	return past / g.total
+	return longer / g.totalWeight
 }
 
-// ShareWithin returns the share of the gaps longer than idle that end within d more.
+// ShareWithin returns the share of the gaps longer than idle that end within a
+// further d, 0 if no gap was longer.
 func (g *Gaps) ShareWithin(idle, d time.Duration) float64 {
-	past := g.SharePast(idle)
-	if past == 0 {
+	longer := g.ShareLonger(idle)
+	if longer == 0 {
 		return 0
 	}
-	return (past - g.SharePast(idle+d)) / past
+	return (longer - g.ShareLonger(idle+d)) / longer
 }
 
-func bucket(d time.Duration) int {
-	if d <= firstEdge {
+// bucketOf returns the index of the bucket of a gap.
+func bucketOf(d time.Duration) int {
+	if d <= firstUpperEdge {
 		return 0
 	}
-	i := int(math.Ceil(math.Log2(float64(d)/float64(firstEdge)) * bucketsPerDoubling))
+	i := int(math.Ceil(math.Log2(float64(d)/float64(firstUpperEdge)) * bucketsPerDoubling))
 	return min(i, bucketCount-1)
 }
 
-// upper returns the upper edge of a bucket.
-func upper(i int) time.Duration {
-	return time.Duration(float64(firstEdge) * math.Exp2(float64(i)/bucketsPerDoubling))
+// upperEdge returns the upper edge of a bucket.
+func upperEdge(i int) time.Duration {
+	return time.Duration(float64(firstUpperEdge) * math.Exp2(float64(i)/bucketsPerDoubling))
 }
 
-// lower returns the lower edge of a bucket.
-func lower(i int) time.Duration {
+// lowerEdge returns the lower edge of a bucket.
+func lowerEdge(i int) time.Duration {
 	if i == 0 {
 		return 0
 	}
-	return upper(i - 1)
+	return upperEdge(i - 1)
 }
 
-func middle(i int) time.Duration {
-	return (lower(i) + upper(i)) / 2
+func midpoint(i int) time.Duration {
+	return (lowerEdge(i) + upperEdge(i)) / 2
 }
--- a/internal/policy/keep/keep_test.go
+++ b/internal/policy/keep/keep_test.go
@@ -18,10 +18,10 @@
 		gaps []time.Duration
 		want func(d time.Duration) bool
 	}{
-		{"nothing seen: break-even", nil, func(d time.Duration) bool { return d == 200*time.Second }},
-		{"short gaps only: kept past them", repeat(30, 20*time.Second), func(d time.Duration) bool { return d >= 20*time.Second }},
-		{"long gaps only: dropped soon", repeat(30, 5*time.Hour), func(d time.Duration) bool { return d <= 20*time.Second }},
-		{"bounded by the policy", repeat(30, 150*time.Minute), func(d time.Duration) bool { return d <= 2*time.Hour }},
+		{"no gaps observed: break-even time", nil, func(d time.Duration) bool { return d == 200*time.Second }},
+		{"only short gaps: kept loaded for longer than the gaps", repeat(30, 20*time.Second), func(d time.Duration) bool { return d >= 20*time.Second }},
+		{"only long gaps: unloaded soon", repeat(30, 5*time.Hour), func(d time.Duration) bool { return d <= 20*time.Second }},
+		{"bounded by the policy's maximum", repeat(30, 150*time.Minute), func(d time.Duration) bool { return d <= 2*time.Hour }},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -30,7 +30,7 @@
 				g.Observe(gap)
 			}
 			d := Alive(&g, Costs{ColdWait: 20 * time.Second, Price: 10, Max: 2 * time.Hour})
-			NewWithT(t).Expect(c.want(d)).To(BeTrue(), "kept %s", d)
+			NewWithT(t).Expect(c.want(d)).To(BeTrue(), "kept loaded for %s", d)
 		})
 	}
 }
@@ -43,19 +43,19 @@
 	return out
 }
 
-// TestBreakEvenCostsAtMostTwiceTheBest checks the ski-rental bound for any gap.
+// TestBreakEvenCostsAtMostTwiceTheBest checks the competitive ratio of 2 of the ski-rental problem for any gap.
 func TestBreakEvenCostsAtMostTwiceTheBest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		cold := rapid.Float64Range(1, 100).Draw(t, "cold")
+		coldSeconds := rapid.Float64Range(1, 100).Draw(t, "cold")
 		price := rapid.Float64Range(0.1, 500).Draw(t, "price")
-		gap := rapid.Float64Range(0, 100_000).Draw(t, "gap")
-		keep := BreakEven(Costs{ColdWait: time.Duration(cold * float64(time.Second)), Price: price, Max: 1 << 62}).Seconds()
-		paid := gap
-		if gap > keep {
-			paid = keep + price*cold
+		gapSeconds := rapid.Float64Range(0, 100_000).Draw(t, "gap")
+		keepSeconds := BreakEven(Costs{ColdWait: time.Duration(coldSeconds * float64(time.Second)), Price: price, Max: 1 << 62}).Seconds()
+		cost := gapSeconds
+		if gapSeconds > keepSeconds {
+			cost = keepSeconds + price*coldSeconds
 		}
-		if best := min(gap, price*cold); paid > 2*best+0.001 {
-			t.Fatalf("paid %g, the best is %g", paid, best)
+		if optimum := min(gapSeconds, price*coldSeconds); cost > 2*optimum+0.001 {
+			t.Fatalf("break-even costs %g, more than twice the optimum %g", cost, optimum)
 		}
 	})
 }
--- a/internal/policy/place/doc.go
+++ b/internal/policy/place/doc.go
@@ -1,2 +1,2 @@
-// Package place decides on which endpoints a model's slots lie.
+// Package place chooses the endpoints for a model's slots.
 package place
--- a/internal/policy/place/place.go
+++ b/internal/policy/place/place.go
@@ -7,62 +7,64 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Endpoint is a place where slots may lie.
+// Endpoint is a candidate for the placement of a slot.
 type Endpoint struct {
 	Name        string
 	Domain      string
 	MemoryBytes int64
-	// Promised sums the memory of the slots that already lie here.
+	// Promised is the memory in bytes reserved by the slots already placed here.
 	Promised int64
 	// Near is 2 if the checkpoint is in the endpoint's memory, 1 if on its disk, 0 if remote.
 	Near int
 }
 
-// Need is what a slot asks of an endpoint.
+// Need describes the slot to place.
 type Need struct {
 	Model string
 	Bytes int64
-	// Domains restricts the failure domains; empty allows all.
+	// Domains lists the allowed failure domains; empty allows all.
 	Domains []string
-	// Taken are the domains of the model's other slots, and Used their endpoints.
+	// Taken lists the failure domains of the model's other slots, and Used their endpoints.
 	Taken []string
 	Used  []string
 }
 
-// nearGain is how much of an endpoint's memory load a near checkpoint outweighs, by level.
-const nearGain = 0.25
+// localityGain is the share of an endpoint's memory that each level of Near offsets in the load score.
+const localityGain = 0.25
 
-// Choose returns the best endpoint for one more slot: a domain without a slot
-// of the model first, then the least promised memory with near checkpoints
-// counted in favour, and a hash of both names between equals, so that
-// endpoints that come or go move few slots.
+// Choose returns the best endpoint for one more slot, or false if none fits. It
+// prefers the failure domain with the fewest slots of the model, then the lowest
+// load score, and breaks ties by a hash of both names, so that added or removed
+// endpoints move few slots.
 func Choose(need Need, endpoints []Endpoint) (Endpoint, bool) {
-	var fit []Endpoint
+	var fitting []Endpoint
 	for _, e := range endpoints {
 		if fits(need, e) {
-			fit = append(fit, e)
+			fitting = append(fitting, e)
 		}
 	}
-	if len(fit) == 0 {
+	if len(fitting) == 0 {
 		return Endpoint{}, false
 	}
-	return slices.MinFunc(fit, func(a, b Endpoint) int {
+	return slices.MinFunc(fitting, func(a, b Endpoint) int {
 		return cmp.Or(
 			cmp.Compare(count(need.Taken, a.Domain), count(need.Taken, b.Domain)),
-			cmp.Compare(weight(a), weight(b)),
-			cmp.Compare(tie(need.Model, a.Name), tie(need.Model, b.Name)),
+			cmp.Compare(loadScore(a), loadScore(b)),
+			cmp.Compare(tieHash(need.Model, a.Name), tieHash(need.Model, b.Name)),
 		)
 	}), true
 }
 
+// fits reports whether an endpoint may hold the slot. It ignores the memory
+// reserved by other slots, since slots share an endpoint's memory over time.
 func fits(need Need, e Endpoint) bool {
 	allowed := len(need.Domains) == 0 || slices.Contains(need.Domains, e.Domain)
 	return allowed && e.MemoryBytes >= need.Bytes && !slices.Contains(need.Used, e.Name)
 }
 
-// weight returns the promised share of an endpoint's memory, lowered for near checkpoints.
-func weight(e Endpoint) float64 {
-	return float64(e.Promised)/float64(e.MemoryBytes) - nearGain*float64(e.Near)
+// loadScore returns the reserved share of an endpoint's memory, lowered for a checkpoint in memory or on disk.
+func loadScore(e Endpoint) float64 {
+	return float64(e.Promised)/float64(e.MemoryBytes) - localityGain*float64(e.Near)
 }
 
 func count(list []string, s string) int {
@@ -75,6 +77,6 @@
 	return n
 }
 
-func tie(model, endpoint string) uint64 {
+func tieHash(model, endpoint string) uint64 {
 	return xxhash.Sum64String(model + "\x00" + endpoint)
 }
--- a/internal/policy/place/place_test.go
+++ b/internal/policy/place/place_test.go
@@ -21,13 +21,13 @@
 		endpoints []Endpoint
 		want      string
 	}{
-		{"another failure domain first", Need{Bytes: 10, Taken: []string{"d1"}}, []Endpoint{a, with(b, 90, 0)}, "b"},
-		{"less promised memory", Need{Bytes: 10}, []Endpoint{with(a, 50, 0), with(b, 20, 0)}, "b"},
-		{"a near checkpoint outweighs some memory", Need{Bytes: 10}, []Endpoint{with(a, 40, 1), with(b, 20, 0)}, "a"},
-		{"but not all of it", Need{Bytes: 10}, []Endpoint{with(a, 90, 1), with(b, 20, 0)}, "b"},
-		{"only allowed domains", Need{Bytes: 10, Domains: []string{"d1"}}, []Endpoint{with(a, 90, 0), b}, "a"},
-		{"only where it fits", Need{Bytes: 150}, []Endpoint{a, {Name: "c", MemoryBytes: 200, Promised: 190}}, "c"},
-		{"not twice on one endpoint", Need{Bytes: 10, Used: []string{"b"}}, []Endpoint{with(a, 90, 0), b}, "a"},
+		{"prefers a failure domain without a slot of the model", Need{Bytes: 10, Taken: []string{"d1"}}, []Endpoint{a, withState(b, 90, 0)}, "b"},
+		{"prefers less reserved memory", Need{Bytes: 10}, []Endpoint{withState(a, 50, 0), withState(b, 20, 0)}, "b"},
+		{"a checkpoint on disk outweighs some reserved memory", Need{Bytes: 10}, []Endpoint{withState(a, 40, 1), withState(b, 20, 0)}, "a"},
+		{"a checkpoint on disk does not outweigh much reserved memory", Need{Bytes: 10}, []Endpoint{withState(a, 90, 1), withState(b, 20, 0)}, "b"},
+		{"uses only allowed failure domains", Need{Bytes: 10, Domains: []string{"d1"}}, []Endpoint{withState(a, 90, 0), b}, "a"},
+		{"uses only endpoints with enough memory, counting reserved memory as free", Need{Bytes: 150}, []Endpoint{a, {Name: "c", MemoryBytes: 200, Promised: 190}}, "c"},
+		{"does not place two slots of a model on one endpoint", Need{Bytes: 10, Used: []string{"b"}}, []Endpoint{withState(a, 90, 0), b}, "a"},
 		{"nowhere", Need{Bytes: 150}, []Endpoint{a, b}, ""},
 	}
 	for _, c := range cases {
@@ -38,23 +38,23 @@
 	}
 }
 
-func with(e Endpoint, promised int64, near int) Endpoint {
+func withState(e Endpoint, promised int64, near int) Endpoint {
 	e.Promised, e.Near = promised, near
 	return e
 }
 
-// TestChoiceDoesNotDependOnOrder checks that planners that list endpoints in another order decide alike.
+// TestChoiceDoesNotDependOnOrder checks that planners that list the endpoints in different orders choose the same one.
 func TestChoiceDoesNotDependOnOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var list []Endpoint
+		var endpoints []Endpoint
 		for i := range rapid.IntRange(1, 8).Draw(t, "n") {
-			list = append(list, Endpoint{Name: fmt.Sprint(i), Domain: fmt.Sprint(i % 3), MemoryBytes: 100, Promised: rapid.Int64Range(0, 3).Draw(t, "promised")})
+			endpoints = append(endpoints, Endpoint{Name: fmt.Sprint(i), Domain: fmt.Sprint(i % 3), MemoryBytes: 100, Promised: rapid.Int64Range(0, 3).Draw(t, "promised")})
 		}
 		need := Need{Model: rapid.String().Draw(t, "model"), Bytes: 10}
-		first, _ := Choose(need, list)
-		second, _ := Choose(need, rapid.Permutation(list).Draw(t, "order"))
+		first, _ := Choose(need, endpoints)
+		second, _ := Choose(need, rapid.Permutation(endpoints).Draw(t, "order"))
 		if first != second {
-			t.Fatalf("chose %v and %v", first, second)
+			t.Fatalf("chose %v, and %v with the endpoints in another order", first, second)
 		}
 	})
 }
--- a/internal/policy/swap/swap_test.go
+++ b/internal/policy/swap/swap_test.go
@@ -184,7 +184,7 @@
 			in.Demand[name(i)] = Demand{Rate: rapid.Float64Range(0, 12).Draw(rt, "rate")}
 		}
 		seen := map[string]bool{}
-		store := 0
+		storeLoads := 0
 		for _, a := range Decide(in) {
 			if a.Later {
 				continue
@@ -192,23 +192,23 @@
 			g.Expect(seen[a.Server]).To(BeFalse(), "a server gets at most one action")
 			seen[a.Server] = true
 			i := slices.IndexFunc(in.Servers, func(s Server) bool { return s.ID == a.Server })
-			used := 0.0
+			usedMB := 0.0
 			for _, c := range in.Servers[i].Copies {
 				if slices.Contains(a.Evict, c.Model) {
 					g.Expect(c.InFlight).To(BeNumerically("<=", maxEvictInFlight))
 					g.Expect(newDecision(in).summary(c.Model).wanted).To(BeFalse())
 					continue
 				}
-				used += 72700
+				usedMB += 72700
 				g.Expect(c.Model).NotTo(Equal(a.Load))
 			}
 			g.Expect(in.Servers[i].Engaged).To(BeFalse())
-			g.Expect(used + 72700).To(BeNumerically("<=", engine.WeightsMB))
+			g.Expect(usedMB + 72700).To(BeNumerically("<=", engine.WeightsMB))
 			if a.Source == FromStore {
-				store++
+				storeLoads++
 			}
 		}
-		g.Expect(store).To(BeNumerically("<=", in.StoreLoads))
+		g.Expect(storeLoads).To(BeNumerically("<=", in.StoreLoads))
 	})
 }
 
@@ -218,13 +218,13 @@
 // must keep enough copies, which they lose if the policy doesn't know the demand.
 func TestRareAndBusyModelsTogether(t *testing.T) {
 	g := NewWithT(t)
-	with := simulateDay(7, true)
-	without := simulateDay(7, false)
+	withDemand := simulateDay(7, true)
+	withoutDemand := simulateDay(7, false)
 	t.Logf("seed 7: share of rare requests in time %.3f, share of time with too few busy copies %.3f; without known demand %.3f and %.3f",
-		with.rareInTimeShare, with.busyShortShare, without.rareInTimeShare, without.busyShortShare)
-	g.Expect(with.rareInTimeShare).To(BeNumerically(">=", 0.9), "share of rare requests whose model is loaded within 2.5 s")
-	g.Expect(with.busyShortShare).To(BeNumerically("<=", 0.25))
-	g.Expect(without.busyShortShare).To(BeNumerically(">", with.busyShortShare))
+		withDemand.rareInTimeShare, withDemand.busyShortShare, withoutDemand.rareInTimeShare, withoutDemand.busyShortShare)
+	g.Expect(withDemand.rareInTimeShare).To(BeNumerically(">=", 0.9), "share of rare requests whose model is loaded within 2.5 s")
+	g.Expect(withDemand.busyShortShare).To(BeNumerically("<=", 0.25))
+	g.Expect(withoutDemand.busyShortShare).To(BeNumerically(">", withDemand.busyShortShare))
 }
 
 type dayResult struct {
@@ -302,7 +302,7 @@
 func simulateDay(seed uint64, knowsDemand bool) dayResult {
 	rnd := rand.New(rand.NewPCG(seed, 1))
 	f := newSimulatedFleet(rnd)
-	var served, rare, short, looks int
+	var servedInTime, rareRequests, shortChecks, checks int
 	waiting := map[string][]time.Duration{}
 	for now := time.Duration(0); now < dayLength; now += tick {
 		f.advance(now)
@@ -310,17 +310,17 @@
 		if rnd.Float64() < rareRequestsPerSecond*tick.Seconds() {
 			m := fmt.Sprintf("m%d", 5+rnd.IntN(34))
 			waiting[m] = append(waiting[m], now)
-			rare++
+			rareRequests++
 		}
 		in := Input{Engine: f.engine, Servers: f.servers, StoreLoads: 2, Demand: map[string]Demand{}}
-		for m, since := range waiting {
+		for m, arrivals := range waiting {
 			if !f.holds(m) {
-				in.Wants = append(in.Wants, Want{Model: m, Weight: float64(len(since))})
+				in.Wants = append(in.Wants, Want{Model: m, Weight: float64(len(arrivals))})
 				continue
 			}
-			for _, at := range since {
-				if now-at <= rareWaitGoal {
-					served++
+			for _, arrival := range arrivals {
+				if now-arrival <= rareWaitGoal {
+					servedInTime++
 				}
 			}
 			delete(waiting, m)
@@ -332,12 +332,12 @@
 			if !f.holds(m) {
 				in.Wants = append(in.Wants, Want{Model: m, Weight: busyRequestsPerSecond})
 			}
-			looks++
+			checks++
 			if x := newDecision(in).summary(m); x.servingCopies+x.pendingCopies < 3 {
-				short++
+				shortChecks++
 			}
 		}
 		f.startLoads(Decide(in), now)
 	}
-	return dayResult{rareInTimeShare: float64(served) / float64(rare), busyShortShare: float64(short) / float64(looks)}
+	return dayResult{rareInTimeShare: float64(servedInTime) / float64(rareRequests), busyShortShare: float64(shortChecks) / float64(checks)}
 }
