--- a/internal/policy/fade/doc.go
+++ b/internal/policy/fade/doc.go
@@ -1,2 +1,2 @@
-// Package fade counts events so that older ones weigh less.
+// Package fade holds event counts and peak durations that decay exponentially with time.
 package fade
--- a/internal/policy/fade/fade.go
+++ b/internal/policy/fade/fade.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// Memory is the time in which the weight of an event falls to a third.
-const Memory = 6 * time.Second
+// TimeConstant is the time in which the weight of an event falls to 1/e, about a third.
+const TimeConstant = 6 * time.Second
 
-// Count is a sum of events that fades; its zero value is empty.
+// Count is an exponentially decaying number of events; the zero value is empty.
 type Count struct {
-	weight float64
-	at     time.Time
+	weight    float64
+	updatedAt time.Time
 }
 
-// Weight returns the events that still count.
+// Weight returns the decayed number of events.
 func (c Count) Weight(now time.Time) float64 {
 	if c.weight == 0 {
 		return 0
 	}
-	return c.weight * math.Exp(-now.Sub(c.at).Seconds()/Memory.Seconds())
+	return c.weight * math.Exp(-now.Sub(c.updatedAt).Seconds()/TimeConstant.Seconds())
 }
 
 // Add returns the count after n more events.
 func (c Count) Add(n float64, now time.Time) Count {
-	return Count{weight: c.Weight(now) + n, at: now}
+	return Count{weight: c.Weight(now) + n, updatedAt: now}
 }
 
-// Rate returns the events a second.
+// Rate returns the estimated number of events per second.
 func (c Count) Rate(now time.Time) float64 {
-	return c.Weight(now) / Memory.Seconds()
+	return c.Weight(now) / TimeConstant.Seconds()
 }
--- a/internal/policy/pace/doc.go
+++ b/internal/policy/pace/doc.go
@@ -1,3 +1,3 @@
-// Package pace learns how many loads a weight store bears side by side at full
-// speed: it answers a store that slows every load down once there are too many.
+// Package pace estimates how many concurrent loads a weight store serves at full
+// speed, for stores that slow down every load when there are too many.
 package pace
--- a/internal/policy/pace/pace.go
+++ b/internal/policy/pace/pace.go
@@ -3,53 +3,55 @@
 import "time"
 
 const (
-	// first is the number of loads side by side before anything was learned.
-	first = 2
-	// most bounds what is tried.
-	most = 8
-	// slowed is the share by which a load must exceed its full-speed time to count as slowed down.
-	slowed = 1.15
-	// rounding rounds the number that the store bears to the nearest.
-	rounding = 0.5
-	// patience is how many loads at full speed precede the next trial of one more, after one was slowed down.
-	patience = 8
+	// defaultConcurrency is the number of concurrent loads before the first observation.
+	defaultConcurrency = 2
+	// maxConcurrency bounds the estimate.
+	maxConcurrency = 8
+	// slowdownThreshold is the ratio to the full-speed time above which a load counts as slowed down.
+	slowdownThreshold = 1.15
+	// roundingOffset makes the conversion to int round to the nearest number.
+	roundingOffset = 0.5
+	// loadsBeforeProbe is the number of full-speed loads after a slowed one before a higher concurrency is tried.
+	loadsBeforeProbe = 8
 )
 
-// Loads is what was learned of a weight store; its zero value is a start.
+// Loads estimates the concurrency that a weight store serves at full speed; the zero value has no observations.
 type Loads struct {
-	atOnce int
-	// calm counts the loads at full speed since one was slowed down.
-	calm int
+	concurrency int
+	// fullSpeedLoads counts the full-speed loads since the last slowed one,
+	// starting at -loadsBeforeProbe; above 0 the estimate may rise.
+	fullSpeedLoads int
 }
 
-// Known returns what another process has learned.
-func Known(atOnce int) Loads {
-	return Loads{atOnce: max(0, min(most, atOnce))}
+// Known returns an estimate made by another process, 0 if it has none.
+func Known(concurrency int) Loads {
+	return Loads{concurrency: max(0, min(maxConcurrency, concurrency))}
 }
 
-// AtOnce returns how many loads run at full speed side by side, as far as known.
+// AtOnce returns the estimated number of concurrent loads that run at full speed.
 func (l Loads) AtOnce() int {
-	if l.atOnce == 0 {
-		return first
+	if l.concurrency == 0 {
+		return defaultConcurrency
 	}
-	return l.atOnce
+	return l.concurrency
 }
 
-// Ended returns what is known after a load that ran beside others (itself
-// counted in at its busiest), took a time, and takes another at full speed.
-func (l Loads) Ended(beside int, took, fullSpeed time.Duration) Loads {
-	if fullSpeed <= 0 || beside < 1 {
+// Ended returns the estimate updated with a load that has ended. concurrent is
+// the largest number of loads that ran at once, itself included, and
+// fullSpeedTime the duration it would have alone.
+func (l Loads) Ended(concurrent int, took, fullSpeedTime time.Duration) Loads {
+	if fullSpeedTime <= 0 || concurrent < 1 {
 		return l
 	}
-	factor := float64(took) / float64(fullSpeed)
+	slowdown := float64(took) / float64(fullSpeedTime)
 	switch {
-	case factor > slowed:
-		// The time grows with the number side by side beyond what the store bears.
-		l.atOnce, l.calm = max(1, min(l.AtOnce(), int(float64(beside)/factor+rounding))), -patience
-	case beside >= l.AtOnce():
-		l.calm++
-		if l.calm > 0 {
-			l.atOnce = min(most, beside+1)
+	case slowdown > slowdownThreshold:
+		// Beyond the store's capacity the duration grows in proportion to the number of concurrent loads.
+		l.concurrency, l.fullSpeedLoads = max(1, min(l.AtOnce(), int(float64(concurrent)/slowdown+roundingOffset))), -loadsBeforeProbe
+	case concurrent >= l.AtOnce():
+		l.fullSpeedLoads++
+		if l.fullSpeedLoads > 0 {
+			l.concurrency = min(maxConcurrency, concurrent+1)
 		}
 	}
 	return l
--- a/internal/policy/pace/pace_test.go
+++ b/internal/policy/pace/pace_test.go
@@ -7,23 +7,23 @@
 	. "github.com/onsi/gomega"
 )
 
-// TestLearnsWhatAStoreBears plays loads against stores that bear a number side by side.
-func TestLearnsWhatAStoreBears(t *testing.T) {
-	const full = 6 * time.Second
-	for _, bears := range []int{1, 2, 4, 8} {
+// TestLearnsStoreCapacity simulates loads from stores that serve a given number of concurrent loads at full speed.
+func TestLearnsStoreCapacity(t *testing.T) {
+	const fullSpeedTime = 6 * time.Second
+	for _, capacity := range []int{1, 2, 4, 8} {
 		g := NewWithT(t)
 		var l Loads
-		slow, loads := 0, 0
+		slowLoads, loads := 0, 0
 		for range 40 {
-			beside := l.AtOnce()
-			took := time.Duration(float64(full) * max(1, float64(beside)/float64(bears)))
-			l = l.Ended(beside, took, full)
+			concurrent := l.AtOnce()
+			took := time.Duration(float64(fullSpeedTime) * max(1, float64(concurrent)/float64(capacity)))
+			l = l.Ended(concurrent, took, fullSpeedTime)
 			loads++
-			if took > full {
-				slow++
+			if took > fullSpeedTime {
+				slowLoads++
 			}
 		}
-		g.Expect(l.AtOnce()).To(BeNumerically("~", bears, 1))
-		g.Expect(float64(slow)/float64(loads)).To(BeNumerically("<=", 0.2), "a store that bears %d", bears)
+		g.Expect(l.AtOnce()).To(BeNumerically("~", capacity, 1))
+		g.Expect(float64(slowLoads)/float64(loads)).To(BeNumerically("<=", 0.2), "share of slowed loads at a store that serves %d at full speed", capacity)
 	}
 }
--- a/internal/policy/speed/doc.go
+++ b/internal/policy/speed/doc.go
@@ -1,3 +1,2 @@
-// Package speed learns how fast servers read prompts of a model from the times
-// until answers begin.
+// Package speed estimates the prefill speed of a model from the times to first token.
 package speed
--- a/internal/policy/speed/speed.go
+++ b/internal/policy/speed/speed.go
@@ -6,37 +6,38 @@
 )
 
 const (
-	// usual is the prompt tokens a millisecond before anything was learned: a 70B model on two accelerators.
-	usual = 30.0
-	// leastTokens is the size from which the reading decides when an answer begins.
-	leastTokens = 1500
-	// firstStep and lastStep bound how far, in natural logarithm, one time moves the estimate.
-	firstStep = 0.4
-	lastStep  = 0.03
+	// defaultTokensPerMs is the prefill speed before the first observation: that of a 70B model on two accelerators.
+	defaultTokensPerMs = 30.0
+	// minTokens is the prompt length from which prefill dominates the time to first token.
+	minTokens = 1500
+	// maxStep and minStep are the first and the smallest change of the estimate's natural logarithm by one observation.
+	maxStep = 0.4
+	minStep = 0.03
 )
 
-// Reading is a running median of the prompt tokens that are read in a
-// millisecond; its zero value knows nothing.
+// Reading is a running median of the prefill speed in tokens per millisecond;
+// the zero value has no observations.
 type Reading struct {
-	// log is the natural logarithm of the estimate against the usual.
-	log  float64
-	seen int
+	// logRatio is the natural logarithm of the ratio of the estimate to defaultTokensPerMs.
+	logRatio float64
+	samples  int
 }
 
-// Time returns how long a number of prompt tokens takes to read.
+// Time returns the estimated prefill time of a number of prompt tokens.
 func (r Reading) Time(tokens int) time.Duration {
-	return time.Duration(float64(tokens) / (usual * math.Exp(r.log)) * float64(time.Millisecond))
+	return time.Duration(float64(tokens) / (defaultTokensPerMs * math.Exp(r.logRatio)) * float64(time.Millisecond))
 }
 
-// With returns what is known after an answer to a prompt of a size began after
-// a time; short prompts tell nothing.
+// With returns the estimate updated with the time to first token of a prompt of
+// the given length. It ignores prompts shorter than minTokens and times that are
+// not positive.
 func (r Reading) With(tokens int, took time.Duration) Reading {
-	if tokens < leastTokens || took <= 0 {
+	if tokens < minTokens || took <= 0 {
 		return r
 	}
-	step := max(lastStep, firstStep/float64(1+r.seen))
+	step := max(minStep, maxStep/float64(1+r.samples))
 	if took > r.Time(tokens) {
 		step = -step
 	}
-	return Reading{log: r.log + step, seen: r.seen + 1}
+	return Reading{logRatio: r.logRatio + step, samples: r.samples + 1}
 }
--- a/internal/policy/speed/speed_test.go
+++ b/internal/policy/speed/speed_test.go
@@ -8,12 +8,13 @@
 	. "github.com/onsi/gomega"
 )
 
-// TestReadingFindsTheMedian plays models of three speeds; a fifth of the times
-// is shorter, as parts of the prompt were read before, and a quarter longer, as others were read at the same time.
+// TestReadingFindsTheMedian simulates models of three speeds. A fifth of the times
+// is shorter, as with cached prompt prefixes, and a quarter longer, as with
+// other prompts read at the same time.
 func TestReadingFindsTheMedian(t *testing.T) {
 	cases := []struct {
-		name  string
-		perMs float64
+		name        string
+		tokensPerMs float64
 	}{
 		{"large", 23}, {"usual", 30}, {"small", 85},
 	}
@@ -24,7 +25,7 @@
 			var r Reading
 			for range 60 {
 				tokens := 2000 + rnd.IntN(12000)
-				took := float64(tokens) / c.perMs * (0.95 + 0.1*rnd.Float64())
+				took := float64(tokens) / c.tokensPerMs * (0.95 + 0.1*rnd.Float64())
 				switch x := rnd.Float64(); {
 				case x < 0.2:
 					took *= 0.4
@@ -34,12 +35,12 @@
 				r = r.With(tokens, time.Duration(took*float64(time.Millisecond)))
 			}
 			got := 10000 / float64(r.Time(10000).Milliseconds())
-			g.Expect(got).To(BeNumerically("~", c.perMs, 0.15*c.perMs))
+			g.Expect(got).To(BeNumerically("~", c.tokensPerMs, 0.15*c.tokensPerMs))
 		})
 	}
 }
 
-func TestShortPromptsTellNothing(t *testing.T) {
+func TestIgnoresShortPromptsAndZeroTimes(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(Reading{}.With(100, time.Second)).To(Equal(Reading{}))
 	g.Expect(Reading{}.With(5000, 0)).To(Equal(Reading{}))
