--- a/internal/policy/evict/doc.go
+++ b/internal/policy/evict/doc.go
@@ -1,2 +1,2 @@
-// Package evict decides which idle items make room for a load.
+// Package evict chooses the idle models and adapters to unload to free memory for a load.
 package evict
--- a/internal/policy/evict/evict.go
+++ b/internal/policy/evict/evict.go
@@ -10,31 +10,32 @@
 type Candidate struct {
 	Name  string
 	Bytes int64
-	// WantedSoon is the chance that it is wanted within the horizon.
+	// WantedSoon is the probability, 0 to 1, that it is requested within the caller's horizon.
 	WantedSoon float64
 	ColdStart  time.Duration
-	// LastUsed breaks ties, longest unused first.
+	// LastUsed breaks ties, the least recently used first.
 	LastUsed time.Time
 }
 
-// Cost returns the expected cold-start seconds for each gigabyte that unloading the candidate frees.
-func Cost(c Candidate) float64 {
+// CostPerGigabyte returns the expected cold-start seconds per gigabyte (2^30 bytes) freed by unloading the candidate.
+func CostPerGigabyte(c Candidate) float64 {
 	const gigabyte = 1 << 30
 	return c.WantedSoon * c.ColdStart.Seconds() / (float64(c.Bytes) / gigabyte)
 }
 
-// Choose returns the cheapest candidates that free the bytes together, or nil if all of them do not.
+// Choose returns the names of the cheapest candidates that together free the
+// bytes, or nil if all of them free too little.
 func Choose(candidates []Candidate, bytes int64) []string {
-	order := slices.Clone(candidates)
-	slices.SortFunc(order, func(a, b Candidate) int {
-		if c := cmp.Compare(Cost(a), Cost(b)); c != 0 {
+	byCost := slices.Clone(candidates)
+	slices.SortFunc(byCost, func(a, b Candidate) int {
+		if c := cmp.Compare(CostPerGigabyte(a), CostPerGigabyte(b)); c != 0 {
 			return c
 		}
 		return a.LastUsed.Compare(b.LastUsed)
 	})
 	var chosen []Candidate
 	var freed int64
-	for _, c := range order {
+	for _, c := range byCost {
 		if freed >= bytes {
 			break
 		}
@@ -44,11 +45,11 @@
 	if freed < bytes {
 		return nil
 	}
-	return names(spare(chosen, freed-bytes))
+	return names(dropUnneeded(chosen, freed-bytes))
 }
 
-// spare drops chosen candidates, dearest first, that the rest can do without.
-func spare(chosen []Candidate, surplus int64) []Candidate {
+// dropUnneeded removes chosen candidates, the most expensive first, whose memory is within the surplus.
+func dropUnneeded(chosen []Candidate, surplus int64) []Candidate {
 	for i := len(chosen) - 1; i >= 0; i-- {
 		if chosen[i].Bytes <= surplus {
 			surplus -= chosen[i].Bytes
--- a/internal/policy/evict/evict_test.go
+++ b/internal/policy/evict/evict_test.go
@@ -24,11 +24,11 @@
 		bytes      int64
 		want       []string
 	}{
-		{"least wanted first", []Candidate{item("a", 10, 0.9, time.Second), item("b", 10, 0.1, time.Second)}, 10 * gb, []string{"b"}},
-		{"cheapest cold start first", []Candidate{item("a", 10, 0.5, 9*time.Second), item("b", 10, 0.5, time.Second)}, 10 * gb, []string{"b"}},
-		{"none too many", []Candidate{item("a", 2, 0.1, time.Second), item("b", 10, 0.8, time.Second)}, 10 * gb, []string{"b"}},
-		{"all together", []Candidate{item("a", 6, 0.1, time.Second), item("b", 6, 0.9, time.Second)}, 10 * gb, []string{"a", "b"}},
-		{"not enough", []Candidate{item("a", 6, 0.1, time.Second)}, 10 * gb, nil},
+		{"unloads the least likely needed candidate first", []Candidate{item("a", 10, 0.9, time.Second), item("b", 10, 0.1, time.Second)}, 10 * gb, []string{"b"}},
+		{"unloads the candidate with the shortest cold start first", []Candidate{item("a", 10, 0.5, 9*time.Second), item("b", 10, 0.5, time.Second)}, 10 * gb, []string{"b"}},
+		{"leaves out a cheap candidate that is not needed", []Candidate{item("a", 2, 0.1, time.Second), item("b", 10, 0.8, time.Second)}, 10 * gb, []string{"b"}},
+		{"unloads several candidates if one is not enough", []Candidate{item("a", 6, 0.1, time.Second), item("b", 6, 0.9, time.Second)}, 10 * gb, []string{"a", "b"}},
+		{"nil if all candidates together free too little", []Candidate{item("a", 6, 0.1, time.Second)}, 10 * gb, nil},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -37,28 +37,29 @@
 	}
 }
 
-// TestChosenFreeEnoughAndNoneIsSpare checks both for any candidates.
-func TestChosenFreeEnoughAndNoneIsSpare(t *testing.T) {
+// TestChosenFreeEnoughAndAllAreNeeded checks on random candidates that the chosen ones
+// free enough memory and that none can be left out.
+func TestChosenFreeEnoughAndAllAreNeeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sizes := map[string]int64{}
-		var list []Candidate
+		var candidates []Candidate
 		for i := range rapid.IntRange(0, 8).Draw(t, "n") {
 			c := Candidate{Name: fmt.Sprint(i), Bytes: rapid.Int64Range(1, 50).Draw(t, "bytes"), WantedSoon: rapid.Float64Range(0, 1).Draw(t, "soon"), ColdStart: time.Second}
 			sizes[c.Name] = c.Bytes
-			list = append(list, c)
+			candidates = append(candidates, c)
 		}
 		need := rapid.Int64Range(1, 120).Draw(t, "need")
 		var freed int64
-		chosen := Choose(list, need)
+		chosen := Choose(candidates, need)
 		for _, name := range chosen {
 			freed += sizes[name]
 		}
 		if chosen != nil && freed < need {
-			t.Fatalf("freed %d of %d", freed, need)
+			t.Fatalf("freed %d of the needed %d bytes", freed, need)
 		}
 		for _, name := range chosen {
 			if freed-sizes[name] >= need {
-				t.Fatalf("%s of %d bytes is spare", name, sizes[name])
+				t.Fatalf("%s of %d bytes is chosen but not needed", name, sizes[name])
 			}
 		}
 	})
--- a/internal/policy/permit/doc.go
+++ b/internal/policy/permit/doc.go
@@ -1,2 +1,2 @@
-// Package permit shares the weight store's bounded rate among the loads of a region.
+// Package permit grants permits for loads from the weight store of a region, within its rate and concurrency limits.
 package permit
--- a/internal/policy/permit/permit.go
+++ b/internal/policy/permit/permit.go
@@ -6,74 +6,75 @@
 	"time"
 )
 
-// Limits are what the weight store bears at full speed.
+// Limits are the rate and concurrency that the weight store serves at full speed.
 type Limits struct {
-	// Models and Adapters bound the loads in transit.
+	// Models and Adapters bound the concurrent loads of each kind.
 	Models   int
 	Adapters int
-	// Rate bounds the model loads that begin each second.
+	// Rate bounds the model loads that begin per second.
 	Rate float64
 }
 
-// DefaultLimits are the weight store's published figures.
+// DefaultLimits returns the weight store's published limits.
 func DefaultLimits() Limits {
 	return Limits{Models: 4, Adapters: 30, Rate: 2}
 }
 
-// expiry is how long a permit that is not given back is held against the limits.
-const expiry = 2 * time.Minute
+// permitTTL is the time after which a permit that was not returned no longer counts against the limits.
+const permitTTL = 2 * time.Minute
 
-// Ask is a wish to load.
+// Ask is a request for a permit to load a model or an adapter.
 type Ask struct {
 	ID      string
 	Adapter bool
-	// Rank is the class's rank, 0 most pressing; Deadline the most urgent waiter's.
+	// Rank is the priority of the request class, 0 the highest. Deadline is the earliest among the waiting requests.
 	Rank     int
 	Deadline time.Time
 }
 
-type held struct {
+type heldPermit struct {
 	ask     Ask
 	expires time.Time
 }
 
-// Desk grants permits in order of rank and deadline. Its state is soft: a new
-// desk that knows of no load under way costs speed, not safety.
+// Desk grants permits in order of rank and deadline, with a token bucket for the
+// rate of model loads. Its state is not persisted: after a restart it doesn't
+// know the running loads, which may slow loads down but breaks nothing.
 type Desk struct {
-	limits  Limits
-	waiting []Ask
-	held    map[string]held
-	tokens  float64
-	filled  time.Time
+	limits     Limits
+	waiting    []Ask
+	held       map[string]heldPermit
+	tokens     float64
+	refilledAt time.Time
 }
 
-// NewDesk returns a desk with all permits free.
+// NewDesk returns a desk with no permits held.
 func NewDesk(limits Limits, now time.Time) *Desk {
-	return &Desk{limits: limits, held: map[string]held{}, tokens: 1, filled: now}
+	return &Desk{limits: limits, held: map[string]heldPermit{}, tokens: 1, refilledAt: now}
 }
 
-// Add queues a wish; a wish known by its ID is renewed.
+// Add queues a request for a permit, replacing a queued one with the same ID.
 func (d *Desk) Add(a Ask) {
 	d.Drop(a.ID)
-	at, _ := slices.BinarySearchFunc(d.waiting, a, compare)
+	at, _ := slices.BinarySearchFunc(d.waiting, a, compareUrgency)
 	d.waiting = slices.Insert(d.waiting, at, a)
 }
 
-func compare(a, b Ask) int {
+func compareUrgency(a, b Ask) int {
 	return cmp.Or(cmp.Compare(a.Rank, b.Rank), a.Deadline.Compare(b.Deadline))
 }
 
-// Drop takes back a wish that waits.
+// Drop removes a queued request.
 func (d *Desk) Drop(id string) {
 	d.waiting = slices.DeleteFunc(d.waiting, func(a Ask) bool { return a.ID == id })
 }
 
-// Return gives a permit back.
+// Return releases a granted permit.
 func (d *Desk) Return(id string) {
 	delete(d.held, id)
 }
 
-// Grant returns the wishes that may begin now.
+// Grant grants permits to queued requests as far as the limits allow and returns those requests.
 func (d *Desk) Grant(now time.Time) []Ask {
 	d.refill(now)
 	for id, h := range d.held {
@@ -83,17 +84,18 @@
 	}
 	var granted []Ask
 	d.waiting = slices.DeleteFunc(d.waiting, func(a Ask) bool {
-		if !d.take(a.Adapter) {
+		if !d.acquire(a.Adapter) {
 			return false
 		}
-		d.held[a.ID] = held{a, now.Add(expiry)}
+		d.held[a.ID] = heldPermit{a, now.Add(permitTTL)}
 		granted = append(granted, a)
 		return true
 	})
 	return granted
 }
 
-// Next returns when Grant may have more to give; 0 if only a returned permit changes that.
+// Next returns the time until the token bucket allows another model load. It is
+// 0 if nothing is queued or only a returned permit can help.
 func (d *Desk) Next(time.Time) time.Duration {
 	if len(d.waiting) == 0 || d.tokens >= 1 {
 		return 0
@@ -102,12 +104,12 @@
 }
 
 func (d *Desk) refill(now time.Time) {
-	d.tokens = min(float64(d.limits.Models), d.tokens+now.Sub(d.filled).Seconds()*d.limits.Rate)
-	d.filled = now
+	d.tokens = min(float64(d.limits.Models), d.tokens+now.Sub(d.refilledAt).Seconds()*d.limits.Rate)
+	d.refilledAt = now
 }
 
-// take uses up a free permit of the kind, if there is one.
-func (d *Desk) take(adapter bool) bool {
+// acquire takes a permit of the given kind and reports whether one was free.
+func (d *Desk) acquire(adapter bool) bool {
 	models, adapters := 0, 0
 	for _, h := range d.held {
 		if h.ask.Adapter {
--- a/internal/policy/permit/permit_test.go
+++ b/internal/policy/permit/permit_test.go
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestPermitThatIsNotGivenBackExpires(t *testing.T) {
+func TestUnreturnedPermitExpires(t *testing.T) {
 	g := NewWithT(t)
 	d := NewDesk(Limits{Models: 1, Adapters: 1, Rate: 100}, start)
 	d.Add(Ask{ID: "lost"})
@@ -53,13 +53,13 @@
 	g.Expect(ids(d.Grant(start.Add(3 * time.Minute)))).To(Equal([]string{"next"}))
 }
 
-// TestLimitsHold checks both limits over any order of wishes and returns.
+// TestLimitsHold checks the concurrency and rate limits over any order of requests and returns.
 func TestLimitsHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := Limits{Models: 4, Adapters: 6, Rate: 2}
 		d, now := NewDesk(limits, start), start
 		held := map[string]bool{}
-		begun := 0
+		modelLoads := 0
 		for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 900).Draw(t, "ms")) * time.Millisecond)
 			if rapid.Bool().Draw(t, "give back") {
@@ -74,7 +74,7 @@
 			for _, a := range d.Grant(now) {
 				held[a.ID] = a.Adapter
 				if !a.Adapter {
-					begun++
+					modelLoads++
 				}
 			}
 			for _, adapter := range held {
@@ -85,10 +85,10 @@
 				}
 			}
 			if models > limits.Models || adapters > limits.Adapters {
-				t.Fatalf("%d models and %d adapters at once", models, adapters)
+				t.Fatalf("%d model loads and %d adapter loads at once exceed the limits", models, adapters)
 			}
-			if allowed := float64(limits.Models) + limits.Rate*now.Sub(start).Seconds(); float64(begun) > allowed {
-				t.Fatalf("%d loads begun, %g allowed", begun, allowed)
+			if allowed := float64(limits.Models) + limits.Rate*now.Sub(start).Seconds(); float64(modelLoads) > allowed {
+				t.Fatalf("%d model loads begun, more than the allowed %g", modelLoads, allowed)
 			}
 		}
 	})
--- a/internal/policy/pick/bench_test.go
+++ b/internal/policy/pick/bench_test.go
@@ -10,96 +10,96 @@
 	"time"
 )
 
-// The size of the simulated routing: entries before replicas of one model.
+// The simulated system: a number of entries that route requests to the replicas of one model.
 const (
-	simEntries  = 20
-	simReplicas = 8
-	simCapacity = 8
-	simService  = 500 * time.Millisecond
-	simRequests = 60_000
+	simEntries     = 20
+	simReplicas    = 8
+	simCapacity    = 8
+	simServiceTime = 500 * time.Millisecond
+	simRequests    = 60_000
 )
 
-// end is the end of a request, which tells its entry the replica's load.
-type end struct {
+// completion is the end of a request, whose answer carries the replica's load to its entry.
+type completion struct {
 	at      time.Duration
 	entry   int
 	replica int
 }
 
-type ends []end
+type completionHeap []completion
 
-func (e ends) Len() int           { return len(e) }
-func (e ends) Less(i, j int) bool { return e[i].at < e[j].at }
-func (e ends) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
-func (e *ends) Push(x any)        { *e = append(*e, x.(end)) }
-func (e *ends) Pop() any {
+func (e completionHeap) Len() int           { return len(e) }
+func (e completionHeap) Less(i, j int) bool { return e[i].at < e[j].at }
+func (e completionHeap) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
+func (e *completionHeap) Push(x any)        { *e = append(*e, x.(completion)) }
+func (e *completionHeap) Pop() any {
 	last := (*e)[len(*e)-1]
 	*e = (*e)[:len(*e)-1]
 	return last
 }
 
-// chooser picks a replica by what one entry knows.
-type chooser func(known []Replica, rnd *rand.Rand) int
+// chooseFunc returns the index of a replica, given one entry's view of all replicas.
+type chooseFunc func(known []Replica, rnd *rand.Rand) int
 
-func randomly(known []Replica, rnd *rand.Rand) int { return rnd.IntN(len(known)) }
+func chooseRandom(known []Replica, rnd *rand.Rand) int { return rnd.IntN(len(known)) }
 
-// leastReported trusts the newest reports and forgets its own requests since.
-func leastReported(known []Replica, _ *rand.Rand) int {
+// chooseLeastReported uses only the last reports and ignores the entry's own requests since then.
+func chooseLeastReported(known []Replica, _ *rand.Rand) int {
 	least := slices.MinFunc(known, func(a, b Replica) int { return cmp.Compare(a.Running+a.Queued, b.Running+b.Queued) })
 	return slices.IndexFunc(known, func(r Replica) bool { return r.Endpoint == least.Endpoint })
 }
 
-func twoChoices(known []Replica, rnd *rand.Rand) int { return Choose(known, 0, rnd) }
+func chooseOfTwo(known []Replica, rnd *rand.Rand) int { return Choose(known, 0, rnd) }
 
-// simulate sends requests at a load and returns the sorted waits in the replicas' queues.
-func simulate(choose chooser, load float64, seed uint64) []time.Duration {
+// simulate sends requests at a share of the total capacity and returns the sorted waits in the replicas' queues.
+func simulate(choose chooseFunc, load float64, seed uint64) []time.Duration {
 	rnd := rand.New(rand.NewPCG(seed, 7))
-	known := make([][]Replica, simEntries)
-	for e := range known {
+	views := make([][]Replica, simEntries)
+	for e := range views {
 		for r := range simReplicas {
-			known[e] = append(known[e], Replica{Endpoint: fmt.Sprint(r), Loaded: true, Local: true, Capacity: simCapacity, Service: simService})
+			views[e] = append(views[e], Replica{Endpoint: fmt.Sprint(r), Loaded: true, Local: true, Capacity: simCapacity, Service: simServiceTime})
 		}
 	}
-	free := make([][]time.Duration, simReplicas)
-	for r := range free {
-		free[r] = make([]time.Duration, simCapacity)
+	slotFreeAt := make([][]time.Duration, simReplicas)
+	for r := range slotFreeAt {
+		slotFreeAt[r] = make([]time.Duration, simCapacity)
 	}
 	busy := make([]int, simReplicas)
-	every := float64(simService) / (simReplicas * simCapacity * load)
-	var pending ends
+	meanInterarrival := float64(simServiceTime) / (simReplicas * simCapacity * load)
+	var pending completionHeap
 	var waits []time.Duration
 	now := time.Duration(0)
 	for range simRequests {
-		now += time.Duration(rnd.ExpFloat64() * every)
+		now += time.Duration(rnd.ExpFloat64() * meanInterarrival)
 		for len(pending) > 0 && pending[0].at <= now {
-			done := heap.Pop(&pending).(end)
+			done := heap.Pop(&pending).(completion)
 			busy[done.replica]--
-			k := &known[done.entry][done.replica]
-			k.Running, k.Queued, k.Sent = min(busy[done.replica], simCapacity), max(0, busy[done.replica]-simCapacity), 0
+			view := &views[done.entry][done.replica]
+			view.Running, view.Queued, view.Sent = min(busy[done.replica], simCapacity), max(0, busy[done.replica]-simCapacity), 0
 		}
 		e := rnd.IntN(simEntries)
-		r := choose(known[e], rnd)
-		known[e][r].Sent++
+		r := choose(views[e], rnd)
+		views[e][r].Sent++
 		busy[r]++
-		place := slices.Index(free[r], slices.Min(free[r]))
-		begin := max(now, free[r][place])
-		free[r][place] = begin + time.Duration(rnd.ExpFloat64()*float64(simService))
-		waits = append(waits, begin-now)
-		heap.Push(&pending, end{free[r][place], e, r})
+		slot := slices.Index(slotFreeAt[r], slices.Min(slotFreeAt[r]))
+		startAt := max(now, slotFreeAt[r][slot])
+		slotFreeAt[r][slot] = startAt + time.Duration(rnd.ExpFloat64()*float64(simServiceTime))
+		waits = append(waits, startAt-now)
+		heap.Push(&pending, completion{slotFreeAt[r][slot], e, r})
 	}
 	slices.Sort(waits)
 	return waits
 }
 
-// BenchmarkRouting compares the routing with baselines in simulated time, on
-// reports that an entry gets only with its own answers.
+// BenchmarkRouting compares Choose with baselines in simulated time. An entry gets
+// load reports only with the answers to its own requests.
 func BenchmarkRouting(b *testing.B) {
-	ways := []struct {
+	strategies := []struct {
 		name   string
-		choose chooser
-	}{{"random", randomly}, {"least-reported", leastReported}, {"two-choices", twoChoices}}
+		choose chooseFunc
+	}{{"random", chooseRandom}, {"least-reported", chooseLeastReported}, {"two-choices", chooseOfTwo}}
 	for _, load := range []float64{0.7, 0.9} {
-		for _, w := range ways {
+		for _, w := range strategies {
 			b.Run(fmt.Sprintf("load=%g/%s", load, w.name), func(b *testing.B) {
 				var waits []time.Duration
 				for b.Loop() {
--- a/internal/policy/pick/doc.go
+++ b/internal/policy/pick/doc.go
@@ -1,2 +1,3 @@
-// Package pick decides which replica a request goes to and when a queue is too long.
+// Package pick chooses the replica for a request and forecasts queueing, to widen
+// to further replicas and to reject requests that would miss their deadline.
 package pick
--- a/internal/policy/pick/pick.go
+++ b/internal/policy/pick/pick.go
@@ -8,39 +8,42 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Replica is one endpoint as an entry knows it, by a report that lags.
+// Replica is an entry's view of one endpoint, based on its last report, which may be out of date.
 type Replica struct {
 	Endpoint string
-	// Loaded is false for a slot that would have to wake.
+	// Loaded is false if the slot would need a cold start.
 	Loaded bool
-	Local  bool
+	// Local is set if the endpoint is in the entry's own failure domain.
+	Local bool
 	// Running, Queued and Capacity are from the last report.
 	Running  int
 	Queued   int
 	Capacity int
-	// Sent counts own requests since that report that have not ended.
-	Sent    int
+	// Sent counts the entry's own requests since that report that have not ended.
+	Sent int
+	// Service is the observed time to serve a request, 0 if not known.
 	Service time.Duration
-	Cold    time.Duration
+	// Cold is the expected time until the slot is loaded, if Loaded is false.
+	Cold time.Duration
 }
 
-// assumedService stands for the time of a request while none was observed.
-const assumedService = 500 * time.Millisecond
+// defaultServiceTime is the assumed time to serve a request while none was observed.
+const defaultServiceTime = 500 * time.Millisecond
 
-// remotePenalty is the expected time that another failure domain must save to be preferred.
+// remotePenalty is the time that a replica in another failure domain must save to be preferred.
 const remotePenalty = 5 * time.Millisecond
 
-// Forecast returns the expected time until the replica would begin one more request.
+// Forecast returns the expected time until the replica would start one more request, 0 if it has capacity.
 func Forecast(r Replica) time.Duration {
 	service := r.Service
 	if service == 0 {
-		service = assumedService
+		service = defaultServiceTime
 	}
 	capacity := max(1, r.Capacity)
 	ahead := max(r.Running+r.Queued, 0) + r.Sent
 	var wait time.Duration
-	if over := ahead + 1 - capacity; over > 0 {
-		wait = service * time.Duration(over) / time.Duration(capacity)
+	if excess := ahead + 1 - capacity; excess > 0 {
+		wait = service * time.Duration(excess) / time.Duration(capacity)
 	}
 	if !r.Loaded {
 		wait += r.Cold
@@ -48,6 +51,7 @@
 	return wait
 }
 
+// score returns the forecast in nanoseconds plus penalties; lower is better.
 func score(r Replica) float64 {
 	s := float64(Forecast(r))
 	if !r.Local {
@@ -57,13 +61,13 @@
 	return s + float64(r.Running+r.Queued+r.Sent)/float64(max(1, r.Capacity))*float64(time.Millisecond)
 }
 
-// boundedLoad is how far above the mean load the replica that holds a prefix may be and still be preferred.
-const boundedLoad = 1.25
+// maxLoadRatio is the ratio to the mean load up to which a replica is preferred for the prefixes that hash to it.
+const maxLoadRatio = 1.25
 
-// Choose returns the index of the replica for a request with a prefix hash, 0
-// for none: among loaded replicas the prefix's own one while its load is near
-// the mean, else the better of two drawn at random. Without a loaded replica
-// it is the first, because one slot's agent decides which slots wake.
+// Choose returns the index of the replica for a request with the given prefix
+// hash, 0 for none. Among loaded replicas it is the one that the prefix hashes to
+// while its load is near the mean, else the better of two random ones. Without a
+// loaded replica it is the first, whose agent decides which slots are loaded.
 func Choose(replicas []Replica, prefix uint64, rnd *rand.Rand) int {
 	loaded := make([]int, 0, len(replicas))
 	for i, r := range replicas {
@@ -78,7 +82,7 @@
 		return loaded[0]
 	}
 	if prefix != 0 {
-		if i := byPrefix(replicas, loaded, prefix); within(replicas, loaded, i) {
+		if i := prefixReplica(replicas, loaded, prefix); withinLoadBound(replicas, loaded, i) {
 			return i
 		}
 	}
@@ -93,50 +97,52 @@
 	return loaded[a]
 }
 
-// byPrefix returns the replica that a prefix hashes to.
-func byPrefix(replicas []Replica, loaded []int, prefix uint64) int {
-	best, top := loaded[0], uint64(0)
+// prefixReplica returns the index of the replica that a prefix hashes to (rendezvous hashing).
+func prefixReplica(replicas []Replica, loaded []int, prefix uint64) int {
+	best, topHash := loaded[0], uint64(0)
 	for _, i := range loaded {
 		h := xxhash.Sum64String(replicas[i].Endpoint) ^ prefix
 		h *= 0x9E3779B97F4A7C15
-		if h ^= h >> 29; h >= top {
-			best, top = i, h
+		if h ^= h >> 29; h >= topHash {
+			best, topHash = i, h
 		}
 	}
 	return best
 }
 
-// within reports whether a replica's load with one more request is at most boundedLoad times the mean, rounded up.
-func within(replicas []Replica, loaded []int, i int) bool {
+// withinLoadBound reports whether a replica could start one more request at once and its
+// load would then be at most maxLoadRatio times the mean, rounded up.
+func withinLoadBound(replicas []Replica, loaded []int, i int) bool {
 	total := 0
 	for _, j := range loaded {
-		total += busy(replicas[j])
+		total += requestCount(replicas[j])
 	}
 	mean := float64(total+1) / float64(len(loaded))
-	return float64(busy(replicas[i])+1) <= math.Ceil(boundedLoad*mean) && Forecast(replicas[i]) == 0
+	return float64(requestCount(replicas[i])+1) <= math.Ceil(maxLoadRatio*mean) && Forecast(replicas[i]) == 0
 }
 
-func busy(r Replica) int {
+// requestCount returns the number of requests known at a replica.
+func requestCount(r Replica) int {
 	return r.Running + r.Queued + r.Sent
 }
 
-// Widen reports whether a slot's agent should send a request on to the next
-// slot: its own queue is forecast to take longer than the other's load.
+// Widen reports whether a slot's agent should forward a request to the next
+// slot, because its own queue is forecast to take longer than that slot's cold start.
 func Widen(queued, capacity int, service, nextCold time.Duration) bool {
 	if service == 0 {
-		service = assumedService
+		service = defaultServiceTime
 	}
 	wait := service * time.Duration(queued) / time.Duration(max(1, capacity))
 	return wait > nextCold
 }
 
-// headroom is the part of the remaining time that a forecast answer must leave
-// free. Under overload a queue fills up to the last answer that is forecast in
-// time, so without headroom every request there ends on the wrong side of its
-// deadline as often as not, after it has used up its place.
-const headroom = 8
+// headroomDivisor sets the share of the remaining time, 1/headroomDivisor, that a
+// forecast answer must leave free. Under overload a queue fills up to the last
+// answer forecast to be in time. Without headroom, about half the requests there
+// would miss their deadline after using up capacity.
+const headroomDivisor = 8
 
-// InTime reports whether an answer is expected before the deadline.
+// InTime reports whether an answer is expected before the deadline with headroom.
 func InTime(wait, service, remaining time.Duration) bool {
-	return wait+service <= remaining-remaining/headroom
+	return wait+service <= remaining-remaining/headroomDivisor
 }
--- a/internal/policy/pick/pick_test.go
+++ b/internal/policy/pick/pick_test.go
@@ -20,12 +20,12 @@
 		prefix   uint64
 		want     string
 	}{
-		{"nothing loaded: the first slot", []Replica{dormant, {Endpoint: "other"}}, 0, "dormant"},
-		{"the loaded one, though it is second", []Replica{dormant, loaded("a", 3)}, 0, "a"},
-		{"the less busy of two", []Replica{loaded("a", 4), loaded("b", 1)}, 0, "b"},
-		{"own requests since the report count", []Replica{{Endpoint: "a", Loaded: true, Sent: 9, Capacity: 4}, loaded("b", 4)}, 0, "b"},
-		{"an overloaded holder of the prefix is passed over", []Replica{loaded("a", 9), loaded("b", 0)}, 1, "b"},
-		{"an overloaded holder is passed over whichever it is", []Replica{loaded("a", 0), loaded("b", 9)}, 1, "a"},
+		{"no loaded replica: the first slot", []Replica{dormant, {Endpoint: "other"}}, 0, "dormant"},
+		{"prefers a loaded replica to a dormant first slot", []Replica{dormant, loaded("a", 3)}, 0, "a"},
+		{"prefers the less busy of two replicas", []Replica{loaded("a", 4), loaded("b", 1)}, 0, "b"},
+		{"counts the entry's own requests since the report", []Replica{{Endpoint: "a", Loaded: true, Sent: 9, Capacity: 4}, loaded("b", 4)}, 0, "b"},
+		{"skips an overloaded first replica whichever the prefix hashes to", []Replica{loaded("a", 9), loaded("b", 0)}, 1, "b"},
+		{"skips an overloaded second replica whichever the prefix hashes to", []Replica{loaded("a", 0), loaded("b", 9)}, 1, "a"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -35,7 +35,8 @@
 	}
 }
 
-// TestPrefixStaysOnOneReplica sends one prefix many times to replicas of equal load.
+// TestPrefixStaysOnOneReplica checks that requests with the same prefix go to one of
+// several equally loaded replicas, and that different prefixes use all of them.
 func TestPrefixStaysOnOneReplica(t *testing.T) {
 	g := NewWithT(t)
 	rnd := rand.New(rand.NewPCG(1, 1))
@@ -58,8 +59,8 @@
 		cold   time.Duration
 		want   bool
 	}{
-		{"a short queue waits", 8, 10 * time.Second, false},
-		{"a queue longer than the other's load goes on", 60, 10 * time.Second, true},
+		{"keeps a request in a short queue", 8, 10 * time.Second, false},
+		{"forwards a request if the queue takes longer than the next slot's cold start", 60, 10 * time.Second, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/policy/retry/budget.go
+++ b/internal/policy/retry/budget.go
@@ -5,29 +5,30 @@
 const (
 	// MaxAttempts bounds the attempts of one request.
 	MaxAttempts = 6
-	// ratio is how many repeats each first attempt earns.
-	ratio = 0.2
-	// burst bounds the repeats saved up.
-	burst = 50
+	// retriesPerAttempt is the number of retries that each first attempt adds to the budget.
+	retriesPerAttempt = 0.2
+	// maxSavedRetries bounds the budget.
+	maxSavedRetries = 50
 )
 
-// Budget lets repeats be at most a share of first attempts, so that repeats
-// cannot keep an overloaded system overloaded.
+// Budget is a retry budget: it limits retries to a share of the first attempts,
+// so that retries can't keep an overloaded system overloaded.
 type Budget struct {
+	// Saved is the number of retries left.
 	Saved float64
 }
 
 // NewBudget returns a full budget.
 func NewBudget() Budget {
-	return Budget{Saved: burst}
+	return Budget{Saved: maxSavedRetries}
 }
 
-// Earned returns the budget after a first attempt.
+// Earned returns the budget increased by a first attempt.
 func (b Budget) Earned() Budget {
-	return Budget{Saved: min(burst, b.Saved+ratio)}
+	return Budget{Saved: min(maxSavedRetries, b.Saved+retriesPerAttempt)}
 }
 
-// Spent returns the budget after a repeat; ok is false if none is left.
+// Spent returns the budget reduced by a retry, or false if none is left.
 func (b Budget) Spent() (Budget, bool) {
 	if b.Saved < 1 {
 		return b, false
@@ -36,12 +37,14 @@
 }
 
 const (
-	minMargin   = 40 * time.Millisecond
-	maxMargin   = 400 * time.Millisecond
-	marginShare = 20
+	// minMargin and maxMargin bound the margin, which is otherwise the timeout divided by marginDivisor.
+	minMargin     = 40 * time.Millisecond
+	maxMargin     = 400 * time.Millisecond
+	marginDivisor = 20
 )
 
-// Margin returns how long before the caller's deadline a request is settled, so that its end reaches the caller in time.
+// Margin returns how long before the caller's deadline a request must have its
+// final outcome, so that the answer reaches the caller in time.
 func Margin(timeout time.Duration) time.Duration {
-	return min(maxMargin, max(minMargin, timeout/marginShare))
+	return min(maxMargin, max(minMargin, timeout/marginDivisor))
 }
--- a/internal/policy/retry/doc.go
+++ b/internal/policy/retry/doc.go
@@ -1,2 +1,2 @@
-// Package retry bounds the repeats of failed attempts.
+// Package retry implements retry budgets and limits for failed attempts.
 package retry
--- a/internal/policy/retry/share_test.go
+++ b/internal/policy/retry/share_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestSharesTogetherStayInTheBudget draws first and second sends at several
-// processes: over any span the second sends are at most slack and ratio.
+// TestSharesTogetherStayInTheBudget checks on random first sends and retries at several
+// processes that all retries are at most the slack plus the ratio times the first sends.
 func TestSharesTogetherStayInTheBudget(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		g := NewWithT(rt)
