--- a/internal/policy/place/place.go
+++ b/internal/policy/place/place.go
@@ -55,8 +55,8 @@
 	}), true
 }
 
-// fits reports whether an endpoint may hold the slot. It ignores the memory
-// reserved by other slots, since slots share an endpoint's memory over time.
+// fits reports whether an endpoint may hold the slot. Memory reserved by other
+// slots doesn't rule an endpoint out; it only raises its load score.
 func fits(need Need, e Endpoint) bool {
 	allowed := len(need.Domains) == 0 || slices.Contains(need.Domains, e.Domain)
 	return allowed && e.MemoryBytes >= need.Bytes && !slices.Contains(need.Used, e.Name)
