--- a/internal/policy/swap/swap.go
+++ b/internal/policy/swap/swap.go
@@ -218,7 +218,8 @@
 		if m := d.summary(model.Name); m.servingCopies > 0 || m.pendingCopies > 0 || m.wanted || d.chosenModels[model.Name] {
 			continue
 		}
-		// Keep one concurrent load of the weight store free for the next wanted model.
+		// Keep one concurrent load of the weight store free for the next wanted
+		// model, unless there is no demand yet.
 		slowest := FromDisk
 		if d.Loading == 0 && len(d.Wants) == 0 && !d.Keep && (d.AtOnce > 1 || len(d.Demand) == 0) {
 			slowest = FromStore
--- a/internal/policy/swap/swap_test.go
+++ b/internal/policy/swap/swap_test.go
@@ -212,10 +212,11 @@
 	})
 }
 
-// TestRareAndBusyModelsTogether simulates the load of the sites: 39 models in memory for
-// 36, two busy models that change over time, and rare requests at any time. Most
-// rare requests must find their model within the goal of 2.5 s, and busy models
-// must keep enough copies, which they lose if the policy doesn't know the demand.
+// TestRareAndBusyModelsTogether simulates the load of the sites: 39 models on
+// servers with memory for 36, two busy models that change over time, and requests
+// for rare models at any time. Most rare requests must find their model loaded
+// within 2.5 s, the response goal of quotes, and busy models must keep enough
+// copies, which they lose if the policy doesn't know the demand.
 func TestRareAndBusyModelsTogether(t *testing.T) {
 	g := NewWithT(t)
 	withDemand := simulateDay(7, true)
