--- a/internal/front/relay/answer.go
+++ b/internal/front/relay/answer.go
@@ -11,72 +11,74 @@
 	"foxtailcroft/internal/core/site"
 )
 
-// maxWhole bounds an answer that is read whole before it is passed on.
-const maxWhole = 16 << 20
+// maxAnswerBytes bounds an answer that is read completely before it is passed on.
+const maxAnswerBytes = 16 << 20
 
-// connectionHeaders concern one connection only and are not passed on.
-var connectionHeaders = []string{
+// hopByHopHeaders concern a single connection and are not passed on.
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
 }
 
-// forwarded returns a copy of headers without those of one connection. A sender
-// may not name a header that is meant for all recipients as one of its connection.
-func forwarded(h http.Header, forAll func(name string) bool) http.Header {
+// endToEndHeaders returns a copy of headers without the hop-by-hop ones. A
+// Connection header cannot remove headers for which isEndToEnd is true.
+func endToEndHeaders(h http.Header, isEndToEnd func(name string) bool) http.Header {
 	out := h.Clone()
-	for _, name := range h.Values("Connection") {
-		for _, n := range splitList(name) {
-			if !forAll(n) {
-				out.Del(n)
+	for _, value := range h.Values("Connection") {
+		for _, name := range splitList(value) {
+			if !isEndToEnd(name) {
+				out.Del(name)
 			}
 		}
 	}
-	for _, name := range connectionHeaders {
+	for _, name := range hopByHopHeaders {
 		out.Del(name)
 	}
 	return out
 }
 
-// relayWhole reads an answer to its end and passes it on, or tries again where that is allowed.
-func (c *call) relayWhole(ctx context.Context, in site.Instance, res *conns.Response) step {
-	data, err := io.ReadAll(io.LimitReader(res.Body, maxWhole+1))
-	if err == nil && len(data) > maxWhole {
-		err = fmt.Errorf("answer over %d bytes", maxWhole)
+// relayBuffered reads an answer to its end before passing it on, so that another
+// instance can be tried where that is allowed if the answer is incomplete or an error.
+func (c *call) relayBuffered(ctx context.Context, in site.Instance, res *conns.Response) nextStep {
+	data, err := io.ReadAll(io.LimitReader(res.Body, maxAnswerBytes+1))
+	if err == nil && len(data) > maxAnswerBytes {
+		err = fmt.Errorf("answer over %d bytes", maxAnswerBytes)
 	}
 	res.Done(err == nil)
 	if ctx.Err() != nil {
-		return again
+		return tryAnother
 	}
 	if err == nil && res.Status < http.StatusMultipleChoices && !c.server.dialect.Signed(res.Header) {
 		err = fmt.Errorf("answer without signature or with an encoding")
 	}
 	if err != nil {
-		c.server.track.outcome(in.Key, true)
+		c.server.tracker.recordOutcome(in.Key, true)
 		c.reason = err.Error()
-		c.note("answer not whole", in, c.reason)
-		return c.afterFailure(true)
+		c.logAttempt("answer not whole", in, c.reason)
+		return c.handleFailure(true)
 	}
 	failed := res.Status >= http.StatusInternalServerError
-	c.server.track.outcome(in.Key, failed)
-	if failed && c.stream == nil && c.mayRepeat() {
-		c.note("instance failed", in, http.StatusText(res.Status))
-		return again
+	c.server.tracker.recordOutcome(in.Key, failed)
+	if failed && c.stream == nil && c.reserveResend() {
+		c.logAttempt("instance failed", in, http.StatusText(res.Status))
+		return tryAnother
 	}
 	if c.stream != nil {
 		c.reason = "resumed stream refused: " + http.StatusText(res.Status)
-		return c.afterFailure(true)
+		return c.handleFailure(true)
 	}
 	c.copyHeader(c.w.Header(), res.Header)
 	c.w.WriteHeader(res.Status)
 	c.outcome, c.status = outcomeAnswered, res.Status
-	c.first = time.Since(c.arrived)
+	c.firstOutputAfter = time.Since(c.arrivedAt)
 	if _, err := c.w.Write(data); err != nil {
 		c.outcome = "answered, caller left"
 	}
-	return done
+	return requestEnded
 }
 
+// copyHeader copies the end-to-end headers of an answer.
 func (c *call) copyHeader(to, from http.Header) {
-	for name, values := range forwarded(from, c.server.dialect.ForAll) {
+	for name, values := range endToEndHeaders(from, c.server.dialect.ForAll) {
 		to[name] = values
 	}
 }
--- a/internal/front/relay/call.go
+++ b/internal/front/relay/call.go
@@ -13,221 +13,225 @@
 )
 
 const (
-	// maxUnsent bounds the tries that never reached an instance, and those that an instance did not run.
-	maxUnsent = 6
-	// fullPause is the wait before instances that were full or busy with an order are asked again.
-	fullPause = 25 * time.Millisecond
-	// soonRetry is when callers come back after a refusal without a better forecast.
-	soonRetry = 300 * time.Millisecond
+	// maxNotRunAttempts bounds, per request, the attempts that certainly did not run: the connection failed, or the instance reported it.
+	maxNotRunAttempts = 6
+	// fullInstanceDelay is the wait before trying instances again that were full or busy with an order.
+	fullInstanceDelay = 25 * time.Millisecond
+	// defaultRetryAfter is the Retry-After time of refusals without a better forecast.
+	defaultRetryAfter = 300 * time.Millisecond
 )
 
-// call is one request on its way.
+// call is the state of one caller's request while it is served.
 type call struct {
-	server  *Server
-	w       http.ResponseWriter
-	r       *http.Request
-	arrived time.Time
-	end     time.Time
-	state   *follow.State
-	ask     site.Request
-	route   *site.Route
-	service string
-	body    []byte
-	tried   map[site.Key]bool
-	// sends counts the instances that may have run the request.
-	sends int
-	// unsent counts tries that certainly did not run.
-	unsent int
-	// stream is set once the head of a stream went to the caller.
+	server    *Server
+	w         http.ResponseWriter
+	r         *http.Request
+	arrivedAt time.Time
+	deadline  time.Time
+	state     *follow.State
+	request   site.Request
+	route     *site.Route
+	service   string
+	body      []byte
+	tried     map[site.Key]bool
+	// possibleRuns counts the attempts that an instance may have run.
+	possibleRuns int
+	// notRunAttempts counts the attempts that certainly did not run.
+	notRunAttempts int
+	// stream is nil until the header of a streamed answer was sent to the caller.
 	stream *stream
 
-	outcome  string
-	reason   string
-	status   int
-	instance string
-	// chosen is the last choice of an instance.
-	chosen choice
-	held   time.Duration
-	// planless is the time in which no planner answered.
-	planless time.Duration
-	first    time.Duration
+	outcome    string
+	reason     string
+	status     int
+	instanceID string
+	// lastChoice is the instance chosen for the latest attempt.
+	lastChoice choice
+	// waited is the time spent waiting for an instance or a model.
+	waited time.Duration
+	// plannerlessTime is the time spent on planner calls that failed.
+	plannerlessTime time.Duration
+	// firstOutputAfter is the time from arrival until the first output to the caller, 0 before that.
+	firstOutputAfter time.Duration
 }
 
-// outcomeAnswered is the outcome of a request that got an instance's whole answer.
+// outcomeAnswered is the outcome of a request that received an instance's complete answer.
 const outcomeAnswered = "answered"
 
-// step is what follows a try.
-type step int
+// nextStep tells what follows an attempt.
+type nextStep int
 
 const (
-	// done means that the caller has its end.
-	done step = iota
-	// again means that another instance may be tried.
-	again
+	// requestEnded means that the caller received an answer, a refusal or an error.
+	requestEnded nextStep = iota
+	// tryAnother means that another instance may be tried.
+	tryAnother
 )
 
-// run tries instances until the request has an end.
-func (c *call) run(ctx context.Context) {
+// tryInstances tries one instance after another until the request ends.
+func (c *call) tryInstances(ctx context.Context) {
 	for {
-		in, ok := c.find(ctx)
+		in, ok := c.findInstance(ctx)
 		if !ok {
 			return
 		}
 		c.tried[in.Key] = true
-		if c.try(ctx, in) == done {
+		if c.sendTo(ctx, in) == requestEnded {
 			return
 		}
-		if c.expired(ctx) {
+		if c.endIfExpired(ctx) {
 			return
 		}
 	}
 }
 
-// expired ends the request if its time is over or the caller left.
-func (c *call) expired(ctx context.Context) bool {
+// endIfExpired ends the request if its deadline has passed or the caller disconnected, and reports whether it did.
+func (c *call) endIfExpired(ctx context.Context) bool {
 	if ctx.Err() == nil {
 		return false
 	}
 	if c.r.Context().Err() != nil {
-		c.left()
+		c.endCallerLeft()
 		return true
 	}
-	if c.sends > 0 {
+	if c.possibleRuns > 0 {
 		c.fail(http.StatusGatewayTimeout, "time is over, the outcome is unknown")
 		return true
 	}
-	c.refuse(http.StatusServiceUnavailable, "time is over before an instance took the request", soonRetry)
+	c.refuse(http.StatusServiceUnavailable, "time is over before an instance took the request", defaultRetryAfter)
 	return true
 }
 
-// left ends a request whose caller is gone.
-func (c *call) left() {
+// endCallerLeft ends a request whose caller disconnected by aborting the handler.
+func (c *call) endCallerLeft() {
 	c.outcome = "caller left"
 	panic(http.ErrAbortHandler)
 }
 
-// try sends the request to one instance.
-func (c *call) try(ctx context.Context, in site.Instance) step {
-	t := c.server.track
+// sendTo sends the request to one instance and relays the answer.
+func (c *call) sendTo(ctx context.Context, in site.Instance) nextStep {
+	t := c.server.tracker
 	plain := c.route.Kind != site.Streaming
-	answered, ended := t.begin(in.Key, &c.ask, plain)
+	answered, ended := t.beginRequest(in.Key, &c.request, plain)
 	defer ended()
-	c.instance = in.ID
-	header := forwarded(c.r.Header, c.server.dialect.ForAll)
+	c.instanceID = in.ID
+	header := endToEndHeaders(c.r.Header, c.server.dialect.ForAll)
 	lastEvent := ""
 	if c.stream != nil {
-		lastEvent = c.stream.last
+		lastEvent = c.stream.lastEventID
 	}
-	c.server.dialect.Outgoing(header, in.ID, time.Until(c.end), min(9, c.route.Rank), lastEvent)
+	c.server.dialect.Outgoing(header, in.ID, time.Until(c.deadline), min(9, c.route.Rank), lastEvent)
 	res, err := c.server.pool.Do(ctx, conns.Target{Key: in.Key, Address: in.Address}, &conns.Request{
 		Method: c.r.Method, URI: c.r.RequestURI, Host: c.r.Host, Header: header, Body: c.body,
-		Mine: func(h http.Header) bool { return c.server.dialect.Answers(h, c.ask.ID) },
+		Mine: func(h http.Header) bool { return c.server.dialect.Answers(h, c.request.ID) },
 	})
 	if err != nil {
-		return c.noAnswer(ctx, in, err)
+		return c.handleNoAnswer(ctx, in, err)
 	}
 	answered()
 	if load, ok := c.server.dialect.Load(res.Header); ok {
-		t.reported(in.Key, load.Running+load.Waiting, time.Now())
+		t.recordLoad(in.Key, load.Running+load.Waiting, time.Now())
 	}
 	if c.server.dialect.NotRun(res.Status, res.Header) {
-		return c.notRun(in, res)
+		return c.handleNotRun(in, res)
 	}
-	c.sends++
+	c.possibleRuns++
 	if res.Status == http.StatusOK && c.route.Kind == site.Streaming {
 		return c.relayStream(ctx, in, res)
 	}
-	return c.relayWhole(ctx, in, res)
+	return c.relayBuffered(ctx, in, res)
 }
 
-// noAnswer decides what follows a try that brought no answer.
-func (c *call) noAnswer(ctx context.Context, in site.Instance, err error) step {
+// handleNoAnswer decides what follows an attempt without an answer.
+func (c *call) handleNoAnswer(ctx context.Context, in site.Instance, err error) nextStep {
 	var f *conns.Failure
 	sent := !errors.As(err, &f) || f.Sent
 	c.reason = err.Error()
 	if sent {
-		c.sends++
+		c.possibleRuns++
 	} else {
-		c.unsent++
+		c.notRunAttempts++
 	}
 	if ctx.Err() != nil {
-		return again
+		return tryAnother
 	}
-	c.server.track.outcome(in.Key, true)
+	c.server.tracker.recordOutcome(in.Key, true)
 	if !sent {
-		c.server.track.exclude(in.Key, excludedRefused)
+		c.server.tracker.exclude(in.Key, refusedConnectionExclusion)
 	}
-	c.note("no answer", in, err.Error())
-	return c.afterFailure(sent)
+	c.logAttempt("no answer", in, err.Error())
+	return c.handleFailure(sent)
 }
 
-// afterFailure decides whether a failed request may be sent to another instance.
-func (c *call) afterFailure(sent bool) step {
+// handleFailure decides whether a request may be sent to another instance after an
+// attempt failed, and ends it if not; sent is false if the attempt certainly did not run.
+func (c *call) handleFailure(sent bool) nextStep {
 	switch {
-	case !sent && c.unsent < maxUnsent:
-		return again
-	case sent && c.mayRepeat():
-		return again
-	case c.sends == 0:
-		c.refuse(http.StatusServiceUnavailable, c.reason, soonRetry)
+	case !sent && c.notRunAttempts < maxNotRunAttempts:
+		return tryAnother
+	case sent && c.reserveResend():
+		return tryAnother
+	case c.possibleRuns == 0:
+		c.refuse(http.StatusServiceUnavailable, c.reason, defaultRetryAfter)
 	default:
 		c.fail(http.StatusBadGateway, c.reason)
 	}
-	return done
+	return requestEnded
 }
 
-// mayRepeat reports whether one more instance may be sent the request, and takes it from the budget.
-func (c *call) mayRepeat() bool {
-	return c.route.Repeatable() && c.sends < c.route.Attempts && time.Until(c.end) > leastLeft && c.server.spend(c.service)
+// reserveResend reports whether the request may be sent to one more instance, and charges the retry budget for it.
+func (c *call) reserveResend() bool {
+	return c.route.Repeatable() && c.possibleRuns < c.route.Attempts && time.Until(c.deadline) > minResendTime && c.server.takeResend(c.service)
 }
 
-// leastLeft is the time below which a second send is in vain.
-const leastLeft = 30 * time.Millisecond
+// minResendTime is the time before the deadline below which a resend is pointless.
+const minResendTime = 30 * time.Millisecond
 
-// notRun decides what follows when an instance reports that it did not run the request.
-func (c *call) notRun(in site.Instance, res *conns.Response) step {
+// handleNotRun decides what follows when an instance reports that it did not run the request.
+func (c *call) handleNotRun(in site.Instance, res *conns.Response) nextStep {
 	res.Discard()
-	c.unsent++
+	c.notRunAttempts++
 	c.reason = "instance did not run it: " + http.StatusText(res.Status)
-	load, told := c.server.dialect.Load(res.Header)
+	load, hasLoad := c.server.dialect.Load(res.Header)
 	switch {
-	case res.Status == http.StatusMisdirectedRequest, c.managed() && told && load.Running < load.Slots:
-		// The model is absent or being unloaded.
-		c.server.track.absent(in.Key, c.ask.Target)
+	case res.Status == http.StatusMisdirectedRequest, c.needsLoadedModel() && hasLoad && load.Running < load.Slots:
+		// The model is absent or being unloaded: the instance says so, or rejects the request although it has free slots.
+		c.server.tracker.recordAbsence(in.Key, c.request.Target)
 	default:
-		c.server.track.exclude(in.Key, excludedFull)
+		c.server.tracker.exclude(in.Key, fullInstanceExclusion)
 	}
-	c.note("not run", in, c.reason)
-	if c.unsent >= maxUnsent || !c.server.spend(c.service) {
-		if c.sends > 0 {
+	c.logAttempt("not run", in, c.reason)
+	if c.notRunAttempts >= maxNotRunAttempts || !c.server.takeResend(c.service) {
+		if c.possibleRuns > 0 {
 			c.fail(http.StatusBadGateway, c.reason)
-			return done
+			return requestEnded
 		}
-		c.refuse(http.StatusServiceUnavailable, c.reason, soonRetry)
-		return done
+		c.refuse(http.StatusServiceUnavailable, c.reason, defaultRetryAfter)
+		return requestEnded
 	}
-	return again
+	return tryAnother
 }
 
-// refuse answers that the request was not run, or is not allowed.
-func (c *call) refuse(status int, reason string, after time.Duration) {
-	c.finish("refused", status, reason, after)
+// refuse answers that the request was not run or is not allowed; a zero retryAfter sends no Retry-After.
+func (c *call) refuse(status int, reason string, retryAfter time.Duration) {
+	c.endWithError("refused", status, reason, retryAfter)
 }
 
-// fail answers that the outcome is not known.
+// fail answers that the request failed and may have run.
 func (c *call) fail(status int, reason string) {
-	c.finish("failed", status, reason, 0)
+	c.endWithError("failed", status, reason, 0)
 }
 
-func (c *call) finish(outcome string, status int, reason string, after time.Duration) {
+// endWithError ends the request with a status and a JSON error, or aborts it if its stream has begun.
+func (c *call) endWithError(outcome string, status int, reason string, retryAfter time.Duration) {
 	if c.stream != nil {
-		// Events went out: nothing but events may follow, so the answer is ended visibly.
+		// Only events may follow the events already sent, so the connection is aborted for the caller to see the failure.
 		c.outcome, c.reason = "stream broken off", reason
 		panic(http.ErrAbortHandler)
 	}
 	c.outcome, c.status, c.reason = outcome, status, reason
 	h := c.w.Header()
-	c.server.dialect.Refuse(h, c.ask.ID, after)
+	c.server.dialect.Refuse(h, c.request.ID, retryAfter)
 	h.Set("Content-Type", "application/json")
 	body, err := json.Marshal(struct{ Error string }{reason})
 	if err != nil {
--- a/internal/front/relay/doc.go
+++ b/internal/front/relay/doc.go
@@ -1,3 +1,4 @@
-// Package relay takes callers' requests to instances and their answers back:
-// each request ends in one whole answer of an instance or an honest refusal.
+// Package relay is the reverse proxy between callers and instances. It routes
+// each request, resends it where that is allowed, and ends it with one complete
+// answer of an instance, a refusal, or an error that leaves the outcome open.
 package relay
--- a/internal/front/relay/find.go
+++ b/internal/front/relay/find.go
@@ -13,132 +13,134 @@
 )
 
 const (
-	// serviceTime is kept of the time left for serving once a model is ready.
-	serviceTime = 500 * time.Millisecond
-	// plannerPause is the wait for a planner when there is none, or it cannot be reached.
-	plannerPause = 100 * time.Millisecond
-	// askAgain is how often a waiting request asks the planner anew.
-	askAgain = time.Second
-	// leastPatience, goalPatience and gapPatience say when callers abandon a
-	// stream without events: the longest of a time, a multiple of the route's
-	// goal and one of its longest pause, from the callers' published behaviour.
-	leastPatience = 2 * time.Second
-	goalPatience  = 4
-	gapPatience   = 8
-	// plainWait is how long a request to a plain service waits for an instance.
-	plainWait = 300 * time.Millisecond
-	// plannerWait is how long a request goes without a planner at the most: a
-	// lost one is replaced within its lease and the time to hear of it.
-	plannerWait = 4 * time.Second
+	// servingReserve is the part of the remaining time that is reserved for serving once the model is loaded.
+	servingReserve = 500 * time.Millisecond
+	// plannerRetryDelay is the wait after a planner call failed because there is no planner or it is unreachable.
+	plannerRetryDelay = 100 * time.Millisecond
+	// plannerAskInterval bounds one planner call; a request that still waits then calls again.
+	plannerAskInterval = time.Second
+	// minPatience, patienceGoalFactor and patienceGapFactor tell when callers
+	// abandon a stream without events: after the longest of a fixed time, a
+	// multiple of the route's response goal and a multiple of its longest allowed
+	// gap between events. The values follow the callers' published behaviour.
+	minPatience        = 2 * time.Second
+	patienceGoalFactor = 4
+	patienceGapFactor  = 8
+	// plainServiceMaxWait bounds the wait for an instance of a service without managed models.
+	plainServiceMaxWait = 300 * time.Millisecond
+	// maxPlannerlessTime bounds the time of failed planner calls per request: a
+	// lost planner is replaced within its lease and the time until fronts learn of it.
+	maxPlannerlessTime = 4 * time.Second
 )
 
-// find returns the instance to try next; false if the request has ended.
-func (c *call) find(ctx context.Context) (site.Instance, bool) {
-	if c.ask.Target.Model != "" && c.sends+c.unsent == 0 {
-		c.server.track.ask(c.ask.Target)
+// findInstance returns the instance to try next, waiting for one if needed; false if the request has ended.
+func (c *call) findInstance(ctx context.Context) (site.Instance, bool) {
+	if c.request.Target.Model != "" && c.possibleRuns+c.notRunAttempts == 0 {
+		c.server.tracker.countRequest(c.request.Target)
 	}
 	for {
-		c.state = c.server.sites.State()
+		c.state = c.server.stateSource.State()
 		list := c.untried(c.candidates())
-		if chosen, ok := c.server.track.pick(list, c.server.set.Node.Domain, &c.ask, c.route.MaxGap, c.server.pool.Connected); ok {
-			c.chosen = chosen
+		if chosen, ok := c.server.tracker.pickInstance(list, c.server.settings.Node.Domain, &c.request, c.route.MaxGap, c.server.pool.Connected); ok {
+			c.lastChoice = chosen
 			return chosen.Instance, true
 		}
-		if !c.wait(ctx) {
+		if !c.waitForInstance(ctx) {
 			return site.Instance{}, false
 		}
 	}
 }
 
-// candidates are the instances that could serve.
+// candidates returns the instances that could serve the request, including those already tried.
 func (c *call) candidates() []site.Instance {
 	list := c.state.Serving(c.service)
-	if !c.managed() {
+	if !c.needsLoadedModel() {
 		return list
 	}
-	return c.server.track.holding(list, c.ask.Target)
+	return c.server.tracker.filterHolders(list, c.request.Target)
 }
 
-// managed reports whether the request names a model that must be loaded.
-func (c *call) managed() bool {
+// needsLoadedModel reports whether the request names a model of a service whose models the planner loads.
+func (c *call) needsLoadedModel() bool {
 	svc := c.state.Document.Services[c.service]
-	return c.ask.Target.Model != "" && svc != nil && svc.Engine != nil
+	return c.request.Target.Model != "" && svc != nil && svc.Engine != nil
 }
 
+// untried returns the instances that the request has not tried yet.
 func (c *call) untried(list []site.Instance) []site.Instance {
 	return slices.DeleteFunc(slices.Clone(list), func(in site.Instance) bool { return c.tried[in.Key] })
 }
 
-// wait waits for an instance to come up; false if the request has ended.
-func (c *call) wait(ctx context.Context) bool {
-	began := time.Now()
-	defer func() { c.held += time.Since(began) }()
-	if c.managed() {
+// waitForInstance waits until instances may be tried again; false if the request has ended.
+func (c *call) waitForInstance(ctx context.Context) bool {
+	waitStart := time.Now()
+	defer func() { c.waited += time.Since(waitStart) }()
+	if c.needsLoadedModel() {
 		return c.waitForModel(ctx)
 	}
-	if c.held > plainWait {
-		c.none("no instance to try", soonRetry)
+	if c.waited > plainServiceMaxWait {
+		c.endWithoutInstance("no instance to try", defaultRetryAfter)
 		return false
 	}
-	// Those that are left have rejected the request or a connection; they may have room in a moment.
-	pause.For(ctx, fullPause)
+	// All instances have rejected the request or a connection; they may have capacity again after a short delay.
+	pause.For(ctx, fullInstanceDelay)
 	clear(c.tried)
-	return !c.expired(ctx)
+	return !c.endIfExpired(ctx)
 }
 
-// none ends a request for which there is no instance.
-func (c *call) none(reason string, after time.Duration) {
-	if c.sends > 0 {
+// endWithoutInstance ends a request for which no instance was found.
+func (c *call) endWithoutInstance(reason string, retryAfter time.Duration) {
+	if c.possibleRuns > 0 {
 		c.fail(http.StatusBadGateway, reason)
 		return
 	}
-	c.refuse(http.StatusServiceUnavailable, reason, after)
+	c.refuse(http.StatusServiceUnavailable, reason, retryAfter)
 }
 
-// waitForModel asks the planner for an instance with the model.
+// waitForModel asks the planner for instances with the model loaded; false if the request has ended.
 func (c *call) waitForModel(ctx context.Context) bool {
-	left := time.Until(c.waitsUntil()) - serviceTime
-	if left <= 0 {
-		c.none("no instance has the model in time", soonRetry)
+	remaining := time.Until(c.waitDeadline()) - servingReserve
+	if remaining <= 0 {
+		c.endWithoutInstance("no instance has the model in time", defaultRetryAfter)
 		return false
 	}
-	asked := time.Now()
-	found, err := c.server.finder.Want(ctx, peers.Want{Service: c.service, Target: c.ask.Target, Wait: left, Answer: askAgain, Avoid: c.avoid()})
-	if c.expired(ctx) {
+	askedAt := time.Now()
+	found, err := c.server.finder.Want(ctx, peers.Want{Service: c.service, Target: c.request.Target, Wait: remaining, Answer: plannerAskInterval, Avoid: c.unusableInstances()})
+	if c.endIfExpired(ctx) {
 		return false
 	}
-	var none *peers.NoPlanner
+	var noPlanner *peers.NoPlanner
 	if err != nil {
-		c.planless += time.Since(asked)
-		if c.planless > plannerWait {
-			c.none("no planner: "+err.Error(), soonRetry)
+		c.plannerlessTime += time.Since(askedAt)
+		if c.plannerlessTime > maxPlannerlessTime {
+			c.endWithoutInstance("no planner: "+err.Error(), defaultRetryAfter)
 			return false
 		}
-		if !errors.As(err, &none) {
-			c.server.log.Warnw("planner not reached", "Request", c.ask.ID, "Error", err.Error())
+		if !errors.As(err, &noPlanner) {
+			c.server.log.Warnw("planner call failed; asking again after a delay", "Request", c.request.ID, "Error", err.Error())
 		}
-		pause.For(ctx, plannerPause)
-		return !c.expired(ctx)
+		pause.For(ctx, plannerRetryDelay)
+		return !c.endIfExpired(ctx)
 	}
 	if found.Waiting {
 		return true
 	}
 	if len(found.Instances) == 0 {
-		c.none("model not loaded: "+found.Reason, max(soonRetry, found.ReadyIn))
+		c.endWithoutInstance("model not loaded: "+found.Reason, max(defaultRetryAfter, found.ReadyIn))
 		return false
 	}
-	c.server.track.place(c.ask.Target, found.Instances)
+	c.server.tracker.setHolders(c.request.Target, found.Instances)
 	clear(c.tried)
 	if len(c.candidates()) == 0 {
-		pause.For(ctx, fullPause)
+		pause.For(ctx, fullInstanceDelay)
 	}
-	return !c.expired(ctx)
+	return !c.endIfExpired(ctx)
 }
 
-// avoid returns the instances that this request or others could not use a moment ago.
-func (c *call) avoid() []site.Key {
+// unusableInstances returns the instances that this request has tried, or that are excluded or lacked the model recently.
+func (c *call) unusableInstances() []site.Key {
 	list := c.state.Serving(c.service)
-	out := c.server.track.unusable(list, c.ask.Target)
+	out := c.server.tracker.unusable(list, c.request.Target)
 	for _, in := range list {
 		if c.tried[in.Key] && !slices.Contains(out, in.Key) {
 			out = append(out, in.Key)
@@ -147,27 +149,27 @@
 	return out
 }
 
-// patience returns when the caller gives up a stream without a first event.
-func (c *call) patience() time.Time {
+// patienceEnd returns when the caller is expected to abandon a stream without a first event, at the latest the deadline.
+func (c *call) patienceEnd() time.Time {
 	if c.route.Kind != site.Streaming || c.route.Goal <= 0 {
-		return c.end
+		return c.deadline
 	}
-	at := c.arrived.Add(max(leastPatience, goalPatience*c.route.Goal, gapPatience*c.route.MaxGap))
-	if at.Before(c.end) {
-		return at
+	givesUpAt := c.arrivedAt.Add(max(minPatience, patienceGoalFactor*c.route.Goal, patienceGapFactor*c.route.MaxGap))
+	if givesUpAt.Before(c.deadline) {
+		return givesUpAt
 	}
-	return c.end
+	return c.deadline
 }
 
-// waitsUntil returns when the wait for a model ends: with the caller's
-// patience, or while a front that stops still has time to serve.
-func (c *call) waitsUntil() time.Time {
-	until := c.patience()
-	if stop := c.server.stopsAt.Load(); stop != nil && stop.Add(-stopMargin).Before(until) {
-		return stop.Add(-stopMargin)
+// waitDeadline returns when the wait for a model ends: when the caller's
+// patience does, or earlier if the front is stopping, so that it can still serve.
+func (c *call) waitDeadline() time.Time {
+	until := c.patienceEnd()
+	if stop := c.server.stopTime.Load(); stop != nil && stop.Add(-stoppingReserve).Before(until) {
+		return stop.Add(-stoppingReserve)
 	}
 	return until
 }
 
-// stopMargin is kept of a stopping front's time for serving a request that has waited.
-const stopMargin = 2 * time.Second
+// stoppingReserve is the part of a stopping front's remaining time that is reserved for serving requests that have waited.
+const stoppingReserve = 2 * time.Second
--- a/internal/front/relay/history_test.go
+++ b/internal/front/relay/history_test.go
@@ -21,39 +21,39 @@
 	"foxtailcroft/test/draws"
 )
 
-// ledger is what the servers of a service keep together: the number of orders.
-type ledger struct {
+// orderService is the handler of all servers of a service, which share a count of orders.
+type orderService struct {
 	mu     sync.Mutex
 	orders int
 	rnd    *rand.Rand
 }
 
-// draw returns whether something of a chance happens.
-func (l *ledger) draw(chance float64) bool {
+// happens returns true with a probability.
+func (l *orderService) happens(chance float64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.rnd.Float64() < chance
 }
 
-// ServeHTTP books an order or reads their number, and fails in the ways that
-// servers do: before, during and after the booking.
-func (l *ledger) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+// ServeHTTP counts an order or reads the count, with random faults before, during
+// and after counting.
+func (l *orderService) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get("Request-Id")
-	// A body that does not come whole is not run.
+	// A request with an incomplete body is not run.
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
 		return
 	}
 	w.Header().Set("Request-Id", id)
 	switch {
-	case l.draw(0.1):
+	case l.happens(0.1):
 		w.Header().Set("Not-Run", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
-	case l.draw(0.05):
+	case l.happens(0.05):
 		cutOff(w)
 		return
-	case l.draw(0.1):
-		// The request waits, and is run even if its caller has gone meanwhile.
+	case l.happens(0.1):
+		// A delayed request runs even if its caller has disconnected meanwhile.
 		time.Sleep(time.Duration(1+id[0]%7) * 300 * time.Millisecond)
 	}
 	l.mu.Lock()
@@ -63,30 +63,30 @@
 	answer := strconv.Itoa(l.orders)
 	l.mu.Unlock()
 	switch {
-	case l.draw(0.1):
+	case l.happens(0.1):
 		cutOff(w)
 		return
-	case l.draw(0.05):
+	case l.happens(0.05):
 		w.Header().Set("Server-Seal", "s."+id)
 		w.WriteHeader(http.StatusInternalServerError)
 		return
-	case l.draw(0.05):
-		extra(w, id, answer)
+	case l.happens(0.05):
+		sendTwice(w, id, answer)
 		return
 	}
 	w.Header().Set("Server-Seal", "s."+id)
 	_, _ = io.WriteString(w, answer)
 }
 
-// cutOff ends the connection without an answer.
+// cutOff closes the connection without an answer.
 func cutOff(w http.ResponseWriter) {
 	if conn, _, err := w.(http.Hijacker).Hijack(); err == nil {
 		_ = conn.Close()
 	}
 }
 
-// extra sends the answer twice, the second time as a late one would come.
-func extra(w http.ResponseWriter, id, answer string) {
+// sendTwice sends the answer twice; the second one looks like a late answer to an earlier request.
+func sendTwice(w http.ResponseWriter, id, answer string) {
 	conn, _, err := w.(http.Hijacker).Hijack()
 	if err != nil {
 		return
@@ -97,32 +97,32 @@
 	_ = conn.Close()
 }
 
-// told is what a caller was told of an order or a reading of their number.
-type told struct {
-	end   ending
-	value int
+// callResult is the answer to a caller's order or read; value is the count if it was answered.
+type callResult struct {
+	outcome callOutcome
+	value   int
 }
 
-type ending string
+type callOutcome string
 
 const (
-	answered ending = "answered"
-	refused  ending = "refused"
-	unknown  ending = "unknown"
+	answeredOutcome callOutcome = "answered"
+	refusedOutcome  callOutcome = "refused"
+	unknownOutcome  callOutcome = "unknown"
 )
 
-// ordersModel is the number of orders as callers may see it: an answered order
+// orderCountModel is the linearizability model of the count: an answered order
 // counts once, a refused one never, and one of unknown outcome at most once, at any later time.
-var ordersModel = (&porcupine.NondeterministicModel{
+var orderCountModel = (&porcupine.NondeterministicModel{
 	Init: func() []any { return []any{0} },
 	Step: func(state, input, output any) []any {
-		n, out := state.(int), output.(told)
+		n, out := state.(int), output.(callResult)
 		switch {
-		case input == "read" && out.value == n, out.end == refused:
+		case input == "read" && out.value == n, out.outcome == refusedOutcome:
 			return []any{n}
-		case input == "order" && out.end == unknown:
+		case input == "order" && out.outcome == unknownOutcome:
 			return []any{n, n + 1}
-		case input == "order" && out.end == answered && out.value == n+1:
+		case input == "order" && out.outcome == answeredOutcome && out.value == n+1:
 			return []any{n + 1}
 		}
 		return nil
@@ -130,34 +130,34 @@
 	DescribeOperation: func(input, output any) string { return fmt.Sprintf("%v -> %+v", input, output) },
 }).ToModel()
 
-// end reads what a caller was told.
-func (r *rig) end(path, id string) told {
+// sendAndClassify sends a request and returns its result as the caller sees it.
+func (r *harness) sendAndClassify(path, id string) callResult {
 	w, aborted := r.send(r.t.Context(), path, id)
 	value, err := strconv.Atoi(w.Body.String())
 	switch {
 	case aborted:
-		return told{end: unknown}
+		return callResult{outcome: unknownOutcome}
 	case w.Code == http.StatusOK && err == nil:
-		return told{answered, value}
+		return callResult{answeredOutcome, value}
 	case w.Code == http.StatusServiceUnavailable, w.Code == http.StatusTooManyRequests:
-		return told{end: refused}
+		return callResult{outcome: refusedOutcome}
 	}
-	return told{end: unknown}
+	return callResult{outcome: unknownOutcome}
 }
 
-// TestOrdersAreCountedAsToldToCallers lets callers order and read through one
-// relay at the same time, while servers reject, lose answers, answer twice, fail
-// and run requests late; callers come back after refusals. No history may need
-// an order that was run twice, or run though it was refused.
-func TestOrdersAreCountedAsToldToCallers(t *testing.T) {
-	const callers, each, histories = 4, 12, 8
+// TestOrderCountIsLinearizable lets concurrent callers order and read through one
+// relay while servers reject requests, lose answers, answer twice, fail and run
+// requests late; callers retry after refusals. It guards against orders that run
+// twice, or run although they were refused.
+func TestOrderCountIsLinearizable(t *testing.T) {
+	const callers, callsPerCaller, histories = 4, 12, 8
 	first := draws.Seed()
 	for seed := first; seed < first+histories; seed++ {
-		play(t, 3, func(r *rig) {
-			book := &ledger{rnd: rand.New(rand.NewPCG(seed, 1))}
+		withRelay(t, 3, func(r *harness) {
+			orders := &orderService{rnd: rand.New(rand.NewPCG(seed, 1))}
 			for i := range 3 {
 				address := fmt.Sprintf("10.0.1.%d:80", i)
-				r.net.Serve(address, book)
+				r.network.Serve(address, orders)
 				id := fmt.Sprintf("ledger-%d", i)
 				r.state.Instances[id] = site.Instance{Key: site.Key{ID: id}, Service: "ledger", Address: address, Domain: "a", Slots: 4}
 			}
@@ -170,48 +170,48 @@
 			var clock atomic.Int64
 			var mu sync.Mutex
 			var history []porcupine.Operation
-			ends := map[ending]int{}
-			note := func(op porcupine.Operation, out told) {
+			outcomes := map[callOutcome]int{}
+			record := func(op porcupine.Operation, out callResult) {
 				mu.Lock()
 				defer mu.Unlock()
 				op.Output, op.Return = out, clock.Add(1)
-				if out.end == unknown {
+				if out.outcome == unknownOutcome {
 					op.Return = math.MaxInt64
 				}
-				ends[out.end]++
+				outcomes[out.outcome]++
 				history = append(history, op)
 			}
 			var group conc.WaitGroup
 			for caller := range callers {
 				group.Go(func() {
 					rnd := rand.New(rand.NewPCG(seed, uint64(caller)+2))
-					for i := range each {
+					for i := range callsPerCaller {
 						id := fmt.Sprintf("%c%d-%d", 'a'+rune(rnd.IntN(20)), caller, i)
 						op := porcupine.Operation{ClientId: caller, Input: "order", Call: clock.Add(1)}
 						if rnd.IntN(3) == 0 {
 							op.Input = "read"
-							if out := r.end("/safe/x", id); out.end == answered {
-								note(op, out)
+							if out := r.sendAndClassify("/safe/x", id); out.outcome == answeredOutcome {
+								record(op, out)
 							}
 							continue
 						}
-						out := r.end("/unsafe/x", id)
-						for try := 0; out.end == refused && try < 2; try++ {
-							out = r.end("/unsafe/x", fmt.Sprintf("%s-%d", id, try))
+						out := r.sendAndClassify("/unsafe/x", id)
+						for try := 0; out.outcome == refusedOutcome && try < 2; try++ {
+							out = r.sendAndClassify("/unsafe/x", fmt.Sprintf("%s-%d", id, try))
 						}
-						note(op, out)
+						record(op, out)
 						time.Sleep(time.Duration(rnd.IntN(100)) * time.Millisecond)
 					}
 				})
 			}
 			group.Wait()
 			time.Sleep(10 * time.Second)
-			book.mu.Lock()
-			total := book.orders
-			book.mu.Unlock()
-			note(porcupine.Operation{ClientId: callers, Input: "read", Call: clock.Add(1)}, told{answered, total})
-			t.Logf("seed %d: %v, %d orders in the end", seed, ends, total)
-			r.g.Expect(porcupine.CheckOperations(ordersModel, history)).To(BeTrue(), "seed %d", seed)
+			orders.mu.Lock()
+			total := orders.orders
+			orders.mu.Unlock()
+			record(porcupine.Operation{ClientId: callers, Input: "read", Call: clock.Add(1)}, callResult{answeredOutcome, total})
+			t.Logf("seed %d: %v, %d orders in the end", seed, outcomes, total)
+			r.g.Expect(porcupine.CheckOperations(orderCountModel, history)).To(BeTrue(), "seed %d", seed)
 		})
 	}
 }
--- /dev/null
+++ b/internal/front/relay/log.go
@@ -0,0 +1,43 @@
+package relay
+
+import (
+	"net/http"
+	"time"
+
+	"foxtailcroft/internal/core/site"
+)
+
+// logAttempt logs an attempt that did not succeed at an instance, and why.
+func (c *call) logAttempt(event string, in site.Instance, reason string) {
+	c.server.log.Infow(event, "Request", c.request.ID, "Instance", in.ID, "Born", in.Born, "Announced", in.Seen,
+		"Sends", c.possibleRuns, "Unsent", c.notRunAttempts, "Reason", reason, "Ms", time.Since(c.arrivedAt).Milliseconds())
+}
+
+// logRequest logs and counts a request that has ended, with the inputs of its last instance choice.
+func (c *call) logRequest() {
+	var route site.Route
+	if c.route != nil {
+		route = *c.route
+	}
+	version := int64(0)
+	if c.state.Document != nil {
+		version = c.state.Document.Version
+	}
+	events, longestPause := 0, time.Duration(0)
+	if c.stream != nil {
+		events, longestPause = c.stream.eventCount, c.stream.longestPause
+	}
+	took := time.Since(c.arrivedAt)
+	c.server.meters.GetOrCreateCounter(`foxtailcroft_requests_total{outcome="` + c.outcome + `"}`).Inc()
+	c.server.meters.GetOrCreateHistogram("foxtailcroft_request_seconds").Update(took.Seconds())
+	log := c.server.log.Infow
+	if c.outcome != outcomeAnswered && c.status != http.StatusNotFound {
+		log = c.server.log.Warnw
+	}
+	log("request", "Request", c.request.ID, "Route", route.Name, "Kind", string(route.Kind), "Model", c.request.Target.Model, "Adapter", c.request.Target.Name,
+		"Prompt", c.request.PromptTokens, "Instance", c.instanceID, "Sends", c.possibleRuns, "Unsent", c.notRunAttempts, "Outcome", c.outcome, "Status", c.status,
+		"Reason", c.reason, "HeldMs", c.waited.Milliseconds(), "FirstMs", c.firstOutputAfter.Milliseconds(), "Ms", took.Milliseconds(), "Events", events, "GapMs", longestPause.Milliseconds(),
+		"MissingMs", c.lastChoice.Missing.Milliseconds(), "ReadingMs", c.lastChoice.Reading.Milliseconds(), "InFlight", c.lastChoice.InFlight, "Reported", c.lastChoice.Reported, "ReportedAgeMs", c.lastChoice.reportedLoadAge.Milliseconds(), "Of", c.lastChoice.candidateCount,
+		"GoalMs", route.Goal.Milliseconds(), "MaxGapMs", route.MaxGap.Milliseconds(),
+		"Patience", c.request.Patience.Milliseconds(), "Version", version, "Revision", c.state.Revision)
+}
--- a/internal/front/relay/pick.go
+++ b/internal/front/relay/pick.go
@@ -10,35 +10,36 @@
 	"foxtailcroft/internal/policy/choose"
 )
 
-// choice is an instance with what decided for it.
+// choice is a chosen instance with the estimates that decided for it.
 type choice struct {
 	site.Instance
 	choose.Candidate
-	// of is the number of instances that could have been chosen.
-	of int
-	// reportAge is how old the reported load is, 0 if there is none.
-	reportAge time.Duration
+	// candidateCount is the number of instances that could have been chosen.
+	candidateCount int
+	// reportedLoadAge is the age of the instance's newest load report, 0 if there is none.
+	reportedLoadAge time.Duration
 }
 
-// pick chooses among instances; ok is false if none is left.
-func (t *tracker) pick(list []site.Instance, domain string, r *site.Request, maxGap time.Duration, connected func(conns.Target) bool) (c choice, ok bool) {
+// pickInstance returns the instance of the list with the lowest expected cost; ok
+// is false if all are excluded for now or lack the model.
+func (t *instanceTracker) pickInstance(list []site.Instance, domain string, r *site.Request, maxGap time.Duration, connected func(conns.Target) bool) (c choice, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := time.Now()
 	list = slices.DeleteFunc(slices.Clone(list), func(in site.Instance) bool {
-		s := t.of(in.Key)
-		return now.Sub(s.absent[r.Target]) < absentFor || now.Before(s.excludedUntil)
+		s := t.statsOf(in.Key)
+		return now.Sub(s.absentAt[r.Target]) < absenceValidity || now.Before(s.excludedUntil)
 	})
 	var candidates []choose.Candidate
 	for _, in := range list {
-		s := t.of(in.Key)
+		s := t.statsOf(in.Key)
 		c := choose.Candidate{
-			ID: in.ID, Near: in.Domain == domain, Connected: connected(conns.Target{Key: in.Key, Address: in.Address}), Slots: in.Slots, InFlight: s.total, Reading: s.reading,
-			Missing: t.speeds[r.Target.Model].Time(s.missing(r)), LongRead: choose.LongRead(maxGap), Failing: s.failed(now), Answers: s.answers,
-			PauseRisk: choose.Risk(s.pauses.Value(now), maxGap),
+			ID: in.ID, Near: in.Domain == domain, Connected: connected(conns.Target{Key: in.Key, Address: in.Address}), Slots: in.Slots, InFlight: s.totalInFlight, Reading: s.pendingPrefill,
+			Missing: t.prefillSpeeds[r.Target.Model].Time(s.uncachedTokens(r)), LongRead: choose.LongRead(maxGap), Failing: s.currentFailureShare(now), Answers: s.meanAnswerTime,
+			PauseRisk: choose.Risk(s.longestPause.Value(now), maxGap),
 		}
-		if now.Sub(s.reportedAt) < reportedFor {
-			c.Reported = s.reported
+		if now.Sub(s.reportedAt) < reportedLoadValidity {
+			c.Reported = s.reportedRequests
 		}
 		candidates = append(candidates, c)
 	}
@@ -46,18 +47,19 @@
 	if i < 0 {
 		return choice{}, false
 	}
-	chosen := choice{Instance: list[i], Candidate: candidates[i], of: len(list)}
-	if s := t.of(list[i].Key); !s.reportedAt.IsZero() {
-		chosen.reportAge = now.Sub(s.reportedAt)
+	chosen := choice{Instance: list[i], Candidate: candidates[i], candidateCount: len(list)}
+	if s := t.statsOf(list[i].Key); !s.reportedAt.IsZero() {
+		chosen.reportedLoadAge = now.Sub(s.reportedAt)
 	}
 	return chosen, true
 }
 
-// missing returns the tokens of a prompt that the instance has not read for the same model and adapter.
-func (s *seen) missing(r *site.Request) int {
+// uncachedTokens returns the number of prompt tokens after the leading prompt parts
+// that the instance has read before for the same model and adapter.
+func (s *instanceStats) uncachedTokens(r *site.Request) int {
 	total := r.PromptTokens
 	for _, p := range r.Parts {
-		if _, ok := s.parts[partKey(r.Target, p)]; !ok {
+		if _, ok := s.promptParts[promptPartKey(r.Target, p)]; !ok {
 			break
 		}
 		total -= p.Tokens
@@ -65,6 +67,7 @@
 	return max(0, total)
 }
 
-func partKey(t site.Adapter, p site.Part) string {
+// promptPartKey returns the key of a prompt part read for a model and adapter.
+func promptPartKey(t site.Adapter, p site.Part) string {
 	return t.Model + "/" + t.Name + "/" + p.ID
 }
--- a/internal/front/relay/raw_test.go
+++ b/internal/front/relay/raw_test.go
@@ -19,21 +19,22 @@
 
 func TestMain(m *testing.M) { draws.Main(m, 150) }
 
-// rawRequest is a request as bytes, with what a server may run of it.
+// rawRequest is a request as bytes, with the id and body length that a server may run.
 type rawRequest struct {
-	bytes string
-	id    string
-	body  int64
+	bytes     string
+	id        string
+	bodyBytes int64
 }
 
-// drawRaw draws a request that is well formed, or wrong in ways in which
-// requests have been smuggled: two lengths, a length and chunks, odd codings,
-// white space, a second request in the body, a short body.
-func drawRaw(rt *rapid.T, n int) rawRequest {
+// drawRawRequest draws a request that is well formed, or malformed in a way known
+// from request smuggling: two lengths of which one exceeds the body, a length and
+// chunks, an unknown transfer coding, white space in a header name, a second
+// request in the body, a Connection header that names the request id.
+func drawRawRequest(rt *rapid.T, n int) rawRequest {
 	r := rawRequest{id: fmt.Sprintf("id-%d", n)}
-	inner := fmt.Sprintf("POST /unsafe/in HTTP/1.1\r\nHost: h.example\r\nRequest-Id: smuggled-%d\r\nContent-Length: 0\r\n\r\n", n)
-	body := rapid.SampledFrom([]string{"", "x", "order", inner, strings.Repeat("y", 600)}).Draw(rt, "body")
-	r.body = int64(len(body))
+	smuggled := fmt.Sprintf("POST /unsafe/in HTTP/1.1\r\nHost: h.example\r\nRequest-Id: smuggled-%d\r\nContent-Length: 0\r\n\r\n", n)
+	body := rapid.SampledFrom([]string{"", "x", "order", smuggled, strings.Repeat("y", 600)}).Draw(rt, "body")
+	r.bodyBytes = int64(len(body))
 	head := fmt.Sprintf("POST /unsafe/x HTTP/1.1\r\nHost: h.example\r\nRequest-Id: %s\r\nDeadline-Milliseconds: 900\r\n", r.id)
 	chunked := fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(body), body)
 	if body == "" {
@@ -59,48 +60,48 @@
 	return r
 }
 
-// TestRawRequests sends drawn bytes over callers' connections: servers run no
-// request that no caller sent, none twice, and none with another body.
-func TestRawRequests(t *testing.T) {
+// TestRawRequestsAreNotSmuggled sends drawn bytes over a caller's connection:
+// servers run no request that the caller did not send, none twice, and none with a different body.
+func TestRawRequestsAreNotSmuggled(t *testing.T) {
 	t.Logf("FOXTAILCROFT_SEED=%d", draws.Seed())
 	rapid.Check(t, func(rt *rapid.T) {
 		var sent []rawRequest
 		for n := range rapid.IntRange(1, 5).Draw(rt, "requests") {
-			sent = append(sent, drawRaw(rt, n))
+			sent = append(sent, drawRawRequest(rt, n))
 		}
-		play(t, 2, func(r *rig) {
-			r.net.Serve("front:1", r.relay)
-			conn, err := r.net.Dial(r.t.Context(), "front:1")
+		withRelay(t, 2, func(r *harness) {
+			r.network.Serve("front:1", r.relay)
+			conn, err := r.network.Dial(r.t.Context(), "front:1")
 			r.g.Expect(err).NotTo(HaveOccurred())
 			defer conn.Close()
 			r.sendRaw(conn, sent)
 			time.Sleep(5 * time.Second)
-			runs := r.book.All()
+			runs := r.executions.All()
 			seen := map[string]bool{}
 			for _, run := range runs {
 				r.g.Expect(seen[run.ID]).To(BeFalse(), "%s ran twice", run.ID)
 				seen[run.ID] = true
-				var from *rawRequest
+				var source *rawRequest
 				for i := range sent {
 					if sent[i].id == run.ID {
-						from = &sent[i]
+						source = &sent[i]
 					}
 				}
-				r.g.Expect(from).NotTo(BeNil(), "%s was not sent", run.ID)
-				r.g.Expect(run.Body).To(Equal(from.body), "the body of %q", from.bytes)
+				r.g.Expect(source).NotTo(BeNil(), "%s ran but was not sent", run.ID)
+				r.g.Expect(run.Body).To(Equal(source.bodyBytes), "body length of %q", source.bytes)
 			}
 		})
 	})
 }
 
-// sendRaw writes requests one behind the other and reads what comes back.
-func (r *rig) sendRaw(conn net.Conn, list []rawRequest) {
+// sendRaw writes pipelined requests and reads the answers.
+func (r *harness) sendRaw(conn net.Conn, list []rawRequest) {
 	var all bytes.Buffer
 	for _, x := range list {
 		all.WriteString(x.bytes)
 	}
 	r.group.Go(func() {
-		// The front may close the connection at a malformed request.
+		// The front may close the connection after a malformed request.
 		_, _ = conn.Write(all.Bytes())
 	})
 	in := bufio.NewReader(conn)
@@ -114,11 +115,11 @@
 	}
 }
 
-// TestBodyThatDoesNotComeIsAnsweredInTime sends half a body and waits.
-func TestBodyThatDoesNotComeIsAnsweredInTime(t *testing.T) {
-	play(t, 1, func(r *rig) {
-		r.net.Serve("front:1", r.relay)
-		conn, err := r.net.Dial(r.t.Context(), "front:1")
+// TestIncompleteBodyIsAnsweredInTime sends half a body and expects a refusal at the deadline.
+func TestIncompleteBodyIsAnsweredInTime(t *testing.T) {
+	withRelay(t, 1, func(r *harness) {
+		r.network.Serve("front:1", r.relay)
+		conn, err := r.network.Dial(r.t.Context(), "front:1")
 		r.g.Expect(err).NotTo(HaveOccurred())
 		defer conn.Close()
 		began := time.Now()
@@ -128,13 +129,13 @@
 		r.g.Expect(err).NotTo(HaveOccurred())
 		r.g.Expect(res.StatusCode).To(Equal(http.StatusRequestTimeout))
 		r.g.Expect(time.Since(began)).To(BeNumerically("<", time.Second))
-		r.g.Expect(r.book.All()).To(BeEmpty())
+		r.g.Expect(r.executions.All()).To(BeEmpty())
 	})
 }
 
-// FuzzEvent reads events from any bytes: what comes out is what went in, and an event ends with a blank line.
-func FuzzEvent(f *testing.F) {
-	for _, s := range []string{whole, "id: 1\r\ndata: x\r\n\r\n", "\n\n\n", "id:\n\n", "data: " + strings.Repeat("x", 9000) + "\n\nid: 2", "weight-versions: 3\nid: 4\ndata: y\n\n"} {
+// FuzzReadEvent reads events from arbitrary bytes: the output equals the input, and an event ends with a line feed.
+func FuzzReadEvent(f *testing.F) {
+	for _, s := range []string{completeStream, "id: 1\r\ndata: x\r\n\r\n", "\n\n\n", "id:\n\n", "data: " + strings.Repeat("x", 9000) + "\n\nid: 2", "weight-versions: 3\nid: 4\ndata: y\n\n"} {
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
@@ -149,7 +150,7 @@
 			}
 			g.Expect(bytes.HasSuffix(event, []byte("\n"))).To(BeTrue())
 		}
-		if len(data) < maxEvent {
+		if len(data) < maxEventBytes {
 			g.Expect(out).To(Equal(data))
 		}
 	})
--- a/internal/front/relay/relay_test.go
+++ b/internal/front/relay/relay_test.go
@@ -25,32 +25,33 @@
 	"foxtailcroft/test/pipes"
 )
 
-// rig is a relay before servers in one synctest bubble.
-type rig struct {
-	t       *testing.T
-	g       *WithT
-	net     *pipes.Network
-	ends    map[string]func()
-	book    *mimic.Book
-	relay   *Server
-	servers []*mimic.Server
-	state   *follow.State
-	asked   int
-	log     *bytes.Buffer
-	group   conc.WaitGroup
+// harness is a relay in front of mimicked servers in one synctest bubble.
+type harness struct {
+	t            *testing.T
+	g            *WithT
+	network      *pipes.Network
+	stopServer   map[string]func()
+	executions   *mimic.Book
+	relay        *Server
+	servers      []*mimic.Server
+	state        *follow.State
+	plannerCalls int
+	log          *bytes.Buffer
+	group        conc.WaitGroup
 }
 
-func (r *rig) State() *follow.State { return r.state }
+func (r *harness) State() *follow.State { return r.state }
 
-func (r *rig) Want(context.Context, peers.Want) (peers.Found, error) {
-	r.asked++
+func (r *harness) Want(context.Context, peers.Want) (peers.Found, error) {
+	r.plannerCalls++
 	return peers.Found{Reason: "nowhere", ReadyIn: 2 * time.Second}, nil
 }
 
-// play runs a test against n servers that hold model m; routes are below /safe/, /unsafe/, /resume/ and /stream/.
-func play(t *testing.T, n int, test func(*rig)) {
+// withRelay runs a test against n servers of each service, of which those of llm
+// hold model m; routes begin with /safe/, /unsafe/, /resume/ and /stream/.
+func withRelay(t *testing.T, n int, test func(*harness)) {
 	synctest.Test(t, func(t *testing.T) {
-		r := &rig{t: t, g: NewWithT(t), net: pipes.New(), ends: map[string]func(){}, book: &mimic.Book{}, log: &bytes.Buffer{}}
+		r := &harness{t: t, g: NewWithT(t), network: pipes.New(), stopServer: map[string]func(){}, executions: &mimic.Book{}, log: &bytes.Buffer{}}
 		route := func(prefix string, kind site.Kind, attempts int, resumable bool, service string) site.Route {
 			return site.Route{
 				Name: prefix, Host: "h.example", Prefix: prefix, Kind: kind, Attempts: attempts, Resumable: resumable,
@@ -70,28 +71,29 @@
 		}
 		for i := range n {
 			for _, service := range []string{"plain", "llm"} {
-				r.serve(service, i)
+				r.addServer(service, i)
 			}
 		}
-		pool, closePool := conns.New(r.net.Dial, metrics.NewSet())
+		pool, closePool := conns.New(r.network.Dial, metrics.NewSet())
 		log, err := logs.New(r.log, "info", "f")
 		r.g.Expect(err).NotTo(HaveOccurred())
-		set := conf.Front{Node: conf.Node{Name: "f"}, Retry: conf.RetryBudget{Ratio: 0.2, Slack: 58}}
-		r.relay = New(set, r, pool, platform.Dialect{}, r, metrics.NewSet(), log.Sugar())
+		settings := conf.Front{Node: conf.Node{Name: "f"}, Retry: conf.RetryBudget{Ratio: 0.2, Slack: 58}}
+		r.relay = New(settings, r, pool, platform.Dialect{}, r, metrics.NewSet(), log.Sugar())
 		defer r.group.Wait()
-		defer r.net.Close()
+		defer r.network.Close()
 		defer closePool()
 		test(r)
 	})
 }
 
-func (r *rig) serve(service string, i int) {
+// addServer starts the server with an index in a service and announces it.
+func (r *harness) addServer(service string, i int) {
 	address := "10.0.0." + string(rune('1'+i)) + map[string]string{"plain": ":80", "llm": ":81"}[service]
 	id := service + "-" + string(rune('1'+i))
 	s := mimic.NewServer(mimic.Spec{
 		ID: id, Service: service, Address: address, Zone: "a", Slots: 4, EventTime: 20 * time.Millisecond,
-	}, r.book, func() {}, "m")
-	r.ends[address] = r.net.Serve(address, s)
+	}, r.executions, func() {}, "m")
+	r.stopServer[address] = r.network.Serve(address, s)
 	r.servers = append(r.servers, s)
 	in := site.Instance{Key: site.Key{ID: id}, Service: service, Address: address, Domain: "a", Slots: 4}
 	if service == "llm" {
@@ -100,15 +102,15 @@
 	r.state.Instances[id] = in
 }
 
-// faults sets the same switches on all servers.
-func (r *rig) faults(f mimic.Faults) {
+// setFaults sets the same faults on all servers.
+func (r *harness) setFaults(f mimic.Faults) {
 	for _, s := range r.servers {
 		s.SetFaults(f)
 	}
 }
 
-// send takes a request through the relay; aborted is true if the answer was broken off.
-func (r *rig) send(ctx context.Context, path, id string) (w *httptest.ResponseRecorder, aborted bool) {
+// send serves a request by the relay; aborted is true if the answer was cut off.
+func (r *harness) send(ctx context.Context, path, id string) (w *httptest.ResponseRecorder, aborted bool) {
 	method, body := http.MethodPost, "order"
 	if strings.HasPrefix(path, "/safe/") {
 		method, body = http.MethodGet, ""
@@ -134,9 +136,10 @@
 	return w, false
 }
 
-const whole = "id: 1\ndata: piece 1\n\nid: 2\ndata: piece 2\n\nid: 3\ndata: piece 3\n\nid: 4\ndata: piece 4\n\nid: 5\ndata: piece 5\n\n"
+// completeStream is the streamed answer that the servers give.
+const completeStream = "id: 1\ndata: piece 1\n\nid: 2\ndata: piece 2\n\nid: 3\ndata: piece 3\n\nid: 4\ndata: piece 4\n\nid: 5\ndata: piece 5\n\n"
 
-func TestEndings(t *testing.T) {
+func TestRequestOutcomes(t *testing.T) {
 	cases := []struct {
 		name    string
 		path    string
@@ -148,32 +151,32 @@
 	}{
 		{"safe", "/safe/x", mimic.Faults{}, 200, "served", 1, false},
 		{"unsafe", "/unsafe/x", mimic.Faults{}, 200, "served", 1, false},
-		{"stream", "/stream/x", mimic.Faults{}, 200, whole, 1, false},
+		{"stream", "/stream/x", mimic.Faults{}, 200, completeStream, 1, false},
 		{"no route", "/none/x", mimic.Faults{}, 404, "", 0, false},
-		{"safe, every answer lost", "/safe/x", mimic.Faults{Lose: 9}, 502, "", 2, false},
-		{"unsafe, answer lost: never twice", "/unsafe/x", mimic.Faults{Lose: 9}, 502, "", 1, false},
-		{"stream, answer lost: never twice", "/stream/x", mimic.Faults{Lose: 9}, 502, "", 1, false},
-		{"unsafe, all full", "/unsafe/x", mimic.Faults{Shed: 99}, 503, "", 0, false},
-		{"unsafe, answer cut short", "/unsafe/x", mimic.Faults{Cut: 9}, 502, "", 1, false},
-		{"safe, answers cut short", "/safe/x", mimic.Faults{Cut: 9}, 502, "", 2, false},
-		{"without a length", "/unsafe/x", mimic.Faults{Unframed: true}, 200, "served", 1, false},
-		{"a second answer behind", "/unsafe/x", mimic.Faults{Extra: true}, 200, "served", 1, false},
+		{"safe, every answer lost: sent twice", "/safe/x", mimic.Faults{Lose: 9}, 502, "", 2, false},
+		{"unsafe, answer lost: never resent", "/unsafe/x", mimic.Faults{Lose: 9}, 502, "", 1, false},
+		{"stream, answer lost: never resent", "/stream/x", mimic.Faults{Lose: 9}, 502, "", 1, false},
+		{"unsafe, all servers full: refused", "/unsafe/x", mimic.Faults{Shed: 99}, 503, "", 0, false},
+		{"unsafe, truncated answer: never resent", "/unsafe/x", mimic.Faults{Cut: 9}, 502, "", 1, false},
+		{"safe, truncated answers: sent twice", "/safe/x", mimic.Faults{Cut: 9}, 502, "", 2, false},
+		{"answer without a length", "/unsafe/x", mimic.Faults{Unframed: true}, 200, "served", 1, false},
+		{"second answer on the same connection is ignored", "/unsafe/x", mimic.Faults{Extra: true}, 200, "served", 1, false},
 		{"unsigned", "/unsafe/x", mimic.Faults{Unsigned: true}, 502, "", 1, false},
 		{"encoded", "/unsafe/x", mimic.Faults{Encoded: true}, 502, "", 1, false},
-		{"unsigned stream", "/stream/x", mimic.Faults{Unsigned: true}, 502, "", 1, false},
-		{"unsafe, server fails", "/unsafe/x", mimic.Faults{Fail: 9}, 500, "", 1, false},
-		{"safe, all servers fail", "/safe/x", mimic.Faults{Fail: 9}, 500, "", 2, false},
-		{"unsafe, server hangs", "/unsafe/x", mimic.Faults{Hang: true}, 504, "", 1, false},
-		{"stream cut: broken off visibly", "/stream/x", mimic.Faults{Cut: 9, CutAfter: 2}, 200, "id: 1\ndata: piece 1\n\nid: 2\ndata: piece 2\n\n", 1, true},
+		{"unsigned stream is rejected", "/stream/x", mimic.Faults{Unsigned: true}, 502, "", 1, false},
+		{"unsafe, server error is passed on", "/unsafe/x", mimic.Faults{Fail: 9}, 500, "", 1, false},
+		{"safe, all servers fail: last error is passed on", "/safe/x", mimic.Faults{Fail: 9}, 500, "", 2, false},
+		{"unsafe, server hangs until the deadline", "/unsafe/x", mimic.Faults{Hang: true}, 504, "", 1, false},
+		{"truncated stream is aborted visibly", "/stream/x", mimic.Faults{Cut: 9, CutAfter: 2}, 200, "id: 1\ndata: piece 1\n\nid: 2\ndata: piece 2\n\n", 1, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			play(t, 3, func(r *rig) {
-				r.faults(c.faults)
+			withRelay(t, 3, func(r *harness) {
+				r.setFaults(c.faults)
 				w, aborted := r.send(r.t.Context(), c.path, "id-1")
 				r.g.Expect(aborted).To(Equal(c.aborted))
 				r.g.Expect(w.Code).To(Equal(c.status))
-				r.g.Expect(r.book.Runs("id-1")).To(HaveLen(c.runs))
+				r.g.Expect(r.executions.Runs("id-1")).To(HaveLen(c.runs))
 				if c.body != "" {
 					r.g.Expect(w.Body.String()).To(Equal(c.body))
 				}
@@ -181,15 +184,16 @@
 					r.g.Expect(w.Header().Get("Retry-After")).NotTo(BeEmpty())
 				}
 				if c.status >= 500 && c.status != 500 {
-					r.g.Expect(w.Header().Get("Server-Seal")).To(BeEmpty(), "an own failure bears no server's signature")
+					r.g.Expect(w.Header().Get("Server-Seal")).To(BeEmpty(), "a front's own error has no server's signature")
 				}
 			})
 		})
 	}
 }
 
-// TestOneFailureIsRepeatedOnlyWhereAllowed lets one server fail once.
-func TestOneFailureIsRepeatedOnlyWhereAllowed(t *testing.T) {
+// TestOneFailureIsResentWhereAllowed lets one server fail once: the request is
+// resent to another server only where its route or the kind of failure allows it.
+func TestOneFailureIsResentWhereAllowed(t *testing.T) {
 	cases := []struct {
 		name   string
 		path   string
@@ -200,18 +204,18 @@
 	}{
 		{"safe, answer lost", "/safe/x", mimic.Faults{Lose: 1}, 200, "served", 2},
 		{"safe, server failed", "/safe/x", mimic.Faults{Fail: 1}, 200, "served", 2},
-		{"resumable stream, answer lost", "/resume/x", mimic.Faults{Lose: 1}, 200, whole, 2},
-		{"resumable stream cut inside an event", "/resume/x", mimic.Faults{Cut: 1, CutAfter: 2}, 200, whole, 2},
+		{"resumable stream, answer lost", "/resume/x", mimic.Faults{Lose: 1}, 200, completeStream, 2},
+		{"resumable stream cut inside an event", "/resume/x", mimic.Faults{Cut: 1, CutAfter: 2}, 200, completeStream, 2},
 		{"unsafe, one server full", "/unsafe/x", mimic.Faults{Shed: 1}, 200, "served", 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			play(t, 2, func(r *rig) {
-				// All but the second server of each service fail; they are nearer, so that requests meet them.
+			withRelay(t, 2, func(r *harness) {
+				// The first server of each service fails once; it is nearer, so that requests choose it.
 				for _, s := range r.servers[:2] {
 					s.SetFaults(c.faults)
 				}
-				r.relay.set.Node.Domain = "a"
+				r.relay.settings.Node.Domain = "a"
 				for _, id := range []string{"plain-2", "llm-2"} {
 					in := r.state.Instances[id]
 					in.Domain = "b"
@@ -223,54 +227,54 @@
 					r.g.Expect(aborted).To(BeFalse())
 					r.g.Expect(w.Code).To(Equal(c.status))
 					r.g.Expect(w.Body.String()).To(Equal(c.body))
-					if runs := r.book.Runs(id); len(runs) > 1 {
+					if runs := r.executions.Runs(id); len(runs) > 1 {
 						r.g.Expect(runs[0].Server).NotTo(Equal(runs[1].Server))
 						r.g.Expect(runs).To(HaveLen(c.runs))
 						return
 					}
 					time.Sleep(100 * time.Millisecond)
 				}
-				r.g.Expect(c.runs).To(Equal(1), "no request met the failing server")
+				r.g.Expect(c.runs).To(Equal(1), "no request reached the failing server")
 			})
 		})
 	}
 }
 
-func TestResumeNamesTheLastWholeEvent(t *testing.T) {
-	play(t, 2, func(r *rig) {
-		r.faults(mimic.Faults{Cut: 1, CutAfter: 3})
+func TestResumeSendsLastCompleteEventID(t *testing.T) {
+	withRelay(t, 2, func(r *harness) {
+		r.setFaults(mimic.Faults{Cut: 1, CutAfter: 3})
 		w, aborted := r.send(r.t.Context(), "/resume/x", "id-1")
-		r.g.Expect(aborted).To(BeTrue(), "both servers cut it, and two attempts are allowed")
-		r.g.Expect(w.Body.String()).To(Equal(whole[:strings.Index(whole, "id: 4")]), "no piece of an event is passed on")
-		runs := r.book.Runs("id-1")
+		r.g.Expect(aborted).To(BeTrue(), "both servers truncate the stream, and the route allows two attempts")
+		r.g.Expect(w.Body.String()).To(Equal(completeStream[:strings.Index(completeStream, "id: 4")]), "only complete events are passed on")
+		runs := r.executions.Runs("id-1")
 		r.g.Expect(runs).To(HaveLen(2))
 		r.g.Expect(runs[1].From).To(Equal("3"))
 	})
 }
 
-// TestTimeOverDuringAResumedStream cuts a stream, lets the second server hang,
-// and expects that nothing is added to the events that went out.
-func TestTimeOverDuringAResumedStream(t *testing.T) {
-	play(t, 2, func(r *rig) {
-		r.faults(mimic.Faults{Cut: 1, CutAfter: 2, HangAfter: true})
+// TestTimeoutDuringResumedStreamAddsNothing truncates a stream and lets the second
+// server hang until the deadline: nothing may follow the events already sent.
+func TestTimeoutDuringResumedStreamAddsNothing(t *testing.T) {
+	withRelay(t, 2, func(r *harness) {
+		r.setFaults(mimic.Faults{Cut: 1, CutAfter: 2, HangAfter: true})
 		w, aborted := r.send(r.t.Context(), "/resume/x", "id-1")
 		r.g.Expect(aborted).To(BeTrue())
-		r.g.Expect(w.Body.String()).To(Equal(whole[:strings.Index(whole, "id: 3")]))
+		r.g.Expect(w.Body.String()).To(Equal(completeStream[:strings.Index(completeStream, "id: 3")]))
 	})
 }
 
-func TestRefusedConnectionsAreTriedElsewhere(t *testing.T) {
-	play(t, 3, func(r *rig) {
-		r.ends["10.0.0.1:80"]()
-		r.ends["10.0.0.2:80"]()
+func TestRefusedConnectionFallsBackToAnotherInstance(t *testing.T) {
+	withRelay(t, 3, func(r *harness) {
+		r.stopServer["10.0.0.1:80"]()
+		r.stopServer["10.0.0.2:80"]()
 		w, _ := r.send(r.t.Context(), "/unsafe/x", "id-1")
 		r.g.Expect(w.Code).To(Equal(200))
-		r.g.Expect(r.book.Runs("id-1")).To(HaveLen(1))
+		r.g.Expect(r.executions.Runs("id-1")).To(HaveLen(1))
 	})
 }
 
-func TestModelNowhereLoadedIsRefusedAtOnceWithATime(t *testing.T) {
-	play(t, 1, func(r *rig) {
+func TestUnloadedModelIsRefusedAtOnceWithRetryAfter(t *testing.T) {
+	withRelay(t, 1, func(r *harness) {
 		for id, in := range r.state.Instances {
 			in.Models = nil
 			r.state.Instances[id] = in
@@ -280,25 +284,25 @@
 		r.g.Expect(w.Code).To(Equal(503))
 		r.g.Expect(w.Header().Get("Retry-After")).To(Equal("2.000"))
 		r.g.Expect(time.Since(began)).To(BeNumerically("<", 100*time.Millisecond))
-		r.g.Expect(r.asked).To(Equal(1))
+		r.g.Expect(r.plannerCalls).To(Equal(1))
 	})
 }
 
-func TestCallerThatLeavesStopsTheServer(t *testing.T) {
-	play(t, 1, func(r *rig) {
+func TestCallerDisconnectStopsTheServer(t *testing.T) {
+	withRelay(t, 1, func(r *harness) {
 		ctx, cancel := context.WithTimeout(r.t.Context(), 50*time.Millisecond)
 		defer cancel()
 		_, aborted := r.send(ctx, "/stream/x", "id-1")
 		r.g.Expect(aborted).To(BeTrue())
 		time.Sleep(500 * time.Millisecond)
-		r.g.Expect(r.servers[1].Running()).To(BeZero(), "the server stops once its connection is closed")
+		r.g.Expect(r.servers[1].Running()).To(BeZero(), "the relay closes the connection, which stops the server")
 	})
 }
 
 func TestRouteTimeoutAnswersInTime(t *testing.T) {
-	play(t, 1, func(r *rig) {
+	withRelay(t, 1, func(r *harness) {
 		r.state.Document.Routes[1].Timeout = time.Second
-		r.faults(mimic.Faults{Hang: true})
+		r.setFaults(mimic.Faults{Hang: true})
 		began := time.Now()
 		w, _ := r.send(r.t.Context(), "/unsafe/x", "id-1")
 		r.g.Expect(w.Code).To(Equal(504))
@@ -306,36 +310,36 @@
 	})
 }
 
-func TestNoConfigurationIsSaidSo(t *testing.T) {
-	play(t, 1, func(r *rig) {
+func TestMissingConfigurationIsRefusedAsUnavailable(t *testing.T) {
+	withRelay(t, 1, func(r *harness) {
 		r.state.Document = nil
 		w, _ := r.send(r.t.Context(), "/unsafe/x", "id-1")
-		r.g.Expect(w.Code).To(Equal(503), "a front without a configuration cannot say 404")
+		r.g.Expect(w.Code).To(Equal(503), "a front without a configuration does not know its routes, so it must not answer 404")
 		r.g.Expect(w.Header().Get("Retry-After")).NotTo(BeEmpty())
 	})
 }
 
 func TestLargeBodyIsRefused(t *testing.T) {
-	play(t, 1, func(r *rig) {
+	withRelay(t, 1, func(r *harness) {
 		r.state.Document.Limits.BodyBytes = 3
 		w, _ := r.send(r.t.Context(), "/unsafe/x", "id-1")
 		r.g.Expect(w.Code).To(Equal(413))
-		r.g.Expect(r.book.Runs("id-1")).To(BeEmpty())
+		r.g.Expect(r.executions.Runs("id-1")).To(BeEmpty())
 	})
 }
 
-func TestSecondSendsStayInTheBudget(t *testing.T) {
-	play(t, 3, func(r *rig) {
-		r.faults(mimic.Faults{Fail: 1 << 20})
+func TestResendsStayWithinTheBudget(t *testing.T) {
+	withRelay(t, 3, func(r *harness) {
+		r.setFaults(mimic.Faults{Fail: 1 << 20})
 		const requests = 200
 		sends := 0
 		for i := range requests {
 			id := "id-" + string(rune('a'+i%26)) + string(rune('a'+i/26))
 			r.send(r.t.Context(), "/safe/x", id)
-			sends += len(r.book.Runs(id))
+			sends += len(r.executions.Runs(id))
 		}
-		set := r.relay.set.Retry
-		r.g.Expect(float64(sends - requests)).To(BeNumerically("<=", set.Ratio*requests+set.Slack/budgetParts))
+		budget := r.relay.settings.Retry
+		r.g.Expect(float64(sends - requests)).To(BeNumerically("<=", budget.Ratio*requests+budget.Slack/budgetSharesPerFront))
 		r.g.Expect(sends).To(BeNumerically(">", requests))
 	})
 }
--- a/internal/front/relay/server.go
+++ b/internal/front/relay/server.go
@@ -24,87 +24,97 @@
 	"foxtailcroft/internal/policy/retry"
 )
 
-// Dialect reads and writes the headers of requests and answers.
+// Dialect reads and writes the deployment's headers of requests and answers.
 type Dialect interface {
+	// Request decodes a caller's headers.
 	Request(h http.Header) site.Request
-	// ForAll reports whether a header is meant for all recipients, not for one connection.
+	// ForAll reports whether a header is end-to-end even if a Connection header names it.
 	ForAll(name string) bool
+	// Outgoing sets the headers of a request to an instance; an empty lastEvent resumes nothing.
 	Outgoing(h http.Header, instance string, left time.Duration, priority int, lastEvent string)
+	// Answers reports whether an answer belongs to the request with an id.
 	Answers(h http.Header, id string) bool
+	// Signed reports whether an answer has the signature of an instance and no content encoding.
 	Signed(h http.Header) bool
+	// NotRun reports whether the instance states that it did not run the request.
 	NotRun(status int, h http.Header) bool
+	// Load decodes the instance's load; false if the answer has none.
 	Load(h http.Header) (site.Load, bool)
+	// Refuse sets the headers of the front's own refusals and errors.
 	Refuse(h http.Header, id string, after time.Duration)
 }
 
-// Finder asks the planner for instances that can serve a model.
-type Finder interface {
+// InstanceFinder asks the planner for instances that can serve a model.
+type InstanceFinder interface {
 	Want(ctx context.Context, w peers.Want) (peers.Found, error)
 }
 
-// Sites shows the newest state.
-type Sites interface {
+// StateSource returns the newest known state of the deployment.
+type StateSource interface {
 	State() *follow.State
 }
 
-// Server serves callers.
+// Server is the handler of callers' requests.
 type Server struct {
-	set     conf.Front
-	sites   Sites
-	pool    *conns.Pool
-	dialect Dialect
-	finder  Finder
-	track   *tracker
-	log     *zap.SugaredLogger
-	meters  *metrics.Set
-	// stopsAt is when the process ends; nil while it goes on.
-	stopsAt atomic.Pointer[time.Time]
-	mu      sync.Mutex
-	budgets map[string]retry.Share
+	settings    conf.Front
+	stateSource StateSource
+	pool        *conns.Pool
+	dialect     Dialect
+	finder      InstanceFinder
+	tracker     *instanceTracker
+	log         *zap.SugaredLogger
+	meters      *metrics.Set
+	// stopTime is when the process ends; nil unless it is stopping.
+	stopTime atomic.Pointer[time.Time]
+	mu       sync.Mutex
+	// retryBudgets are by service.
+	retryBudgets map[string]retry.Share
 }
 
-// New returns a server of callers' requests.
-func New(set conf.Front, sites Sites, pool *conns.Pool, d Dialect, finder Finder, meters *metrics.Set, log *zap.SugaredLogger) *Server {
+// New returns a server with empty statistics and retry budgets.
+func New(settings conf.Front, stateSource StateSource, pool *conns.Pool, dialect Dialect, finder InstanceFinder, meters *metrics.Set, log *zap.SugaredLogger) *Server {
 	return &Server{
-		set: set, sites: sites, pool: pool, dialect: d, finder: finder, track: newTracker(),
-		log: log, meters: meters, budgets: map[string]retry.Share{},
+		settings: settings, stateSource: stateSource, pool: pool, dialect: dialect, finder: finder, tracker: newInstanceTracker(),
+		log: log, meters: meters, retryBudgets: map[string]retry.Share{},
 	}
 }
 
-// StopAt sets when the process ends; requests that would wait longer are refused before.
-func (s *Server) StopAt(t time.Time) {
-	s.stopsAt.Store(&t)
+// SetStopTime sets when the process ends; requests that would have to wait for a
+// model until then are refused earlier.
+func (s *Server) SetStopTime(t time.Time) {
+	s.stopTime.Store(&t)
 }
 
-// Uses returns what was used of models since the last call, or all that still counts for a planner that is new.
-func (s *Server) Uses(all bool) peers.Uses {
-	state := s.sites.State()
-	return s.track.uses(s.set.Node.Name, all, func(k site.Key) bool {
+// TakeUsage returns the usage of models since the last call; with allRecent, for a
+// new planner, its request counts are those that past requests still weigh.
+func (s *Server) TakeUsage(allRecent bool) peers.Uses {
+	state := s.stateSource.State()
+	return s.tracker.takeUsage(s.settings.Node.Name, allRecent, func(k site.Key) bool {
 		in, ok := state.Instances[k.ID]
 		return ok && in.Key == k
 	})
 }
 
-// SetLoads takes over the load of instances as the planner knows it.
-func (s *Server) SetLoads(loads []peers.Load) {
+// RecordLoads records the loads and longest pauses of instances that the planner knows from all fronts.
+func (s *Server) RecordLoads(loads []peers.Load) {
 	for _, l := range loads {
-		s.track.reported(l.Instance, l.Requests, time.Now().Add(-l.Age))
+		s.tracker.recordLoad(l.Instance, l.Requests, time.Now().Add(-l.Age))
 		if l.Pause > 0 {
-			s.track.pausedElsewhere(l.Instance, l.Pause)
+			s.tracker.recordRemotePause(l.Instance, l.Pause)
 		}
 	}
 }
 
-// firstRetry is when callers come back to a front that knows no configuration yet.
-const firstRetry = 500 * time.Millisecond
+// unconfiguredRetryAfter is the Retry-After time of a front that has no configuration yet.
+const unconfiguredRetryAfter = 500 * time.Millisecond
 
-// ServeHTTP takes one request to its end.
+// ServeHTTP serves one caller's request to its end and logs it.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	c := &call{server: s, w: w, r: r, arrived: time.Now(), state: s.sites.State(), ask: s.dialect.Request(r.Header), tried: map[site.Key]bool{}}
-	defer c.logEnd()
+	c := &call{server: s, w: w, r: r, arrivedAt: time.Now(), state: s.stateSource.State(), request: s.dialect.Request(r.Header), tried: map[site.Key]bool{}}
+	defer c.logRequest()
 	doc := c.state.Document
 	if doc == nil {
-		c.refuse(http.StatusServiceUnavailable, "no configuration yet", firstRetry)
+		c.refuse(http.StatusServiceUnavailable, "no configuration yet", unconfiguredRetryAfter)
 		return
 	}
 	path, _, _ := strings.Cut(r.RequestURI, "?")
@@ -117,86 +127,88 @@
 		c.refuse(http.StatusNotFound, "no route", 0)
 		return
 	}
-	c.service = c.route.Pick(xxhash.Sum64String(c.ask.ID))
-	c.end = c.arrived.Add(c.limit())
+	c.service = c.route.Pick(xxhash.Sum64String(c.request.ID))
+	c.deadline = c.arrivedAt.Add(c.timeLimit())
 	if !c.readBody(doc.Limits.BodyBytes) {
 		return
 	}
-	ctx, cancel := context.WithDeadline(r.Context(), c.end)
+	ctx, cancel := context.WithDeadline(r.Context(), c.deadline)
 	defer cancel()
-	s.earn(c.service)
-	c.run(ctx)
+	s.creditFirstSend(c.service)
+	c.tryInstances(ctx)
 }
 
-// limit returns how long the request may take.
-func (c *call) limit() time.Duration {
+// timeLimit returns how long the request may take: the lower of the route's timeout and the caller's.
+func (c *call) timeLimit() time.Duration {
 	limit := c.route.Timeout
-	if c.ask.Patience > 0 && (limit <= 0 || c.ask.Patience < limit) {
-		limit = c.ask.Patience
+	if c.request.Patience > 0 && (limit <= 0 || c.request.Patience < limit) {
+		limit = c.request.Patience
 	}
 	if limit <= 0 {
-		limit = defaultLimit
+		limit = defaultTimeLimit
 	}
 	return limit
 }
 
-// defaultLimit bounds requests whose route and caller name no time.
-const defaultLimit = 60 * time.Second
+// defaultTimeLimit bounds requests for which neither route nor caller sets a timeout.
+const defaultTimeLimit = 60 * time.Second
 
-// readBody reads the whole body; false if it did not come in time or is too long.
-func (c *call) readBody(most int64) bool {
+// readBody reads the request's body; false if the request ended because the body is incomplete at the deadline or too large.
+func (c *call) readBody(maxBytes int64) bool {
 	if c.r.Body == nil || c.r.ContentLength == 0 {
 		return true
 	}
-	c.readUntil(c.end)
-	data, err := io.ReadAll(http.MaxBytesReader(c.w, c.r.Body, max(most, 1)))
-	var large *http.MaxBytesError
+	c.setReadDeadline(c.deadline)
+	data, err := io.ReadAll(http.MaxBytesReader(c.w, c.r.Body, max(maxBytes, 1)))
+	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		c.refuse(http.StatusRequestTimeout, "body not complete in time", soonRetry)
+		c.refuse(http.StatusRequestTimeout, "body not complete in time", defaultRetryAfter)
 		return false
-	case errors.As(err, &large):
+	case errors.As(err, &tooLarge):
 		c.refuse(http.StatusRequestEntityTooLarge, "body too large", 0)
 		return false
 	case err != nil:
 		c.outcome, c.reason = "caller left", "body not read: "+err.Error()
 		panic(http.ErrAbortHandler)
 	}
-	c.readUntil(time.Time{})
+	c.setReadDeadline(time.Time{})
 	c.body = data
 	return true
 }
 
-// readUntil bounds the reading of the body; a zero time lifts the bound.
-func (c *call) readUntil(t time.Time) {
+// setReadDeadline sets the deadline for reading the body; a zero time removes it.
+func (c *call) setReadDeadline(t time.Time) {
 	if err := http.NewResponseController(c.w).SetReadDeadline(t); err != nil && !errors.Is(err, http.ErrNotSupported) {
-		c.server.log.Warnw("reading not bounded", "Request", c.ask.ID, "Error", err.Error())
+		c.server.log.Warnw("setting the read deadline failed; reading the body without it", "Request", c.request.ID, "Error", err.Error())
 	}
 }
 
-// earn counts a first send towards a service.
-func (s *Server) earn(service string) {
+// creditFirstSend credits a service's retry budget with a first send.
+func (s *Server) creditFirstSend(service string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.budgets[service] = s.budget(service).Earned()
+	s.retryBudgets[service] = s.retryBudget(service).Earned()
 }
 
-// spend takes a second send from a service's budget; false if none is left.
-func (s *Server) spend(service string) bool {
+// takeResend charges a service's retry budget with one resend; false if none is left.
+func (s *Server) takeResend(service string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	b, ok := s.budget(service).Spent()
-	s.budgets[service] = b
+	b, ok := s.retryBudget(service).Spent()
+	s.retryBudgets[service] = b
 	return ok
 }
 
-// budgetParts is into how many parts the slack is divided beside the known fronts, for fronts that start or are not known.
-const budgetParts = 2
+// budgetSharesPerFront divides the slack into this many shares per known front, so
+// that fronts that are starting or not yet known fit into the budget.
+const budgetSharesPerFront = 2
 
-func (s *Server) budget(service string) retry.Share {
-	b, ok := s.budgets[service]
+// retryBudget returns a service's retry budget, a new one at first; the caller holds the lock.
+func (s *Server) retryBudget(service string) retry.Share {
+	b, ok := s.retryBudgets[service]
 	if !ok {
-		b = retry.NewShare(s.set.Retry.Ratio, s.set.Retry.Slack, budgetParts*max(1, len(s.sites.State().Fronts)))
+		b = retry.NewShare(s.settings.Retry.Ratio, s.settings.Retry.Slack, budgetSharesPerFront*max(1, len(s.stateSource.State().Fronts)))
 	}
 	return b
 }
--- a/internal/front/relay/stream.go
+++ b/internal/front/relay/stream.go
@@ -14,109 +14,112 @@
 	"foxtailcroft/internal/core/site"
 )
 
-// maxEvent bounds one event of a stream.
-const maxEvent = 1 << 20
+// maxEventBytes bounds one event of a stream.
+const maxEventBytes = 1 << 20
 
-// notedGap is the part of a route's longest pause, as a divisor, from which a pause is noted.
-const notedGap = 2
+// recordedPauseDivisor divides a route's longest allowed gap: pauses above the result are recorded.
+const recordedPauseDivisor = 2
 
-// mostGap bounds a noted pause, in percent of the route's longest, so that a short disturbance is forgotten soon.
-const mostGap = 125
+// maxRecordedPausePercent bounds a recorded pause, in percent of the route's longest
+// allowed gap, so that the effect of a single long pause decays soon.
+const maxRecordedPausePercent = 125
 
-// errEventCut reports a stream that ended inside an event.
-var errEventCut = errors.New("stream ended inside an event")
+// errTruncatedEvent reports a stream that ended inside an event.
+var errTruncatedEvent = errors.New("stream ended inside an event")
 
-// stream is a stream of which the head went to the caller.
+// stream is the state of a streamed answer whose header was sent to the caller.
 type stream struct {
-	// last is the id of the last event passed on, or the one that the caller named.
-	last   string
-	events int
-	// at is when the last event went out, and gap the longest pause so far.
-	at  time.Time
-	gap time.Duration
+	// lastEventID is the id of the last event passed on, or else the one that the caller resumes after.
+	lastEventID string
+	eventCount  int
+	// lastEventAt is when the last event was passed on.
+	lastEventAt time.Time
+	// longestPause is the longest time between two events so far.
+	longestPause time.Duration
 }
 
-// relayStream passes events on as they arrive; a broken stream goes on at another instance where that is allowed.
-func (c *call) relayStream(ctx context.Context, in site.Instance, res *conns.Response) step {
+// relayStream passes events on as they arrive; a broken stream is resumed at another instance where that is allowed.
+func (c *call) relayStream(ctx context.Context, in site.Instance, res *conns.Response) nextStep {
 	if !c.server.dialect.Signed(res.Header) {
 		res.Done(false)
-		c.server.track.outcome(in.Key, true)
+		c.server.tracker.recordOutcome(in.Key, true)
 		c.reason = "stream without signature or with an encoding"
-		return c.afterFailure(true)
+		return c.handleFailure(true)
 	}
-	events := bufio.NewReader(res.Body)
+	reader := bufio.NewReader(res.Body)
 	for {
-		event, id, err := readEvent(events)
+		event, id, err := readEvent(reader)
 		if errors.Is(err, io.EOF) && len(event) == 0 {
 			res.Done(true)
-			return c.streamEnded(in, res)
+			return c.endStream(in, res)
 		}
 		if err != nil {
 			res.Done(false)
-			return c.streamBroke(ctx, in, err)
+			return c.handleBrokenStream(ctx, in, err)
 		}
-		if err := c.pass(in.Key, res, event, id); err != nil {
+		if err := c.relayEvent(in.Key, res, event, id); err != nil {
 			res.Done(false)
-			c.left()
+			c.endCallerLeft()
 		}
 	}
 }
 
-// pass writes one event to the caller, after the head if it is the first.
-func (c *call) pass(from site.Key, res *conns.Response, event []byte, id string) error {
-	c.head(res)
+// relayEvent writes one event to the caller, preceded by the header if it is the first.
+func (c *call) relayEvent(key site.Key, res *conns.Response, event []byte, id string) error {
+	c.writeHead(res)
 	if id != "" {
-		c.stream.last = id
+		c.stream.lastEventID = id
 	}
 	now := time.Now()
-	if c.stream.events > 0 {
-		gap := now.Sub(c.stream.at)
-		c.stream.gap = max(c.stream.gap, gap)
-		if c.route.MaxGap > 0 && gap > c.route.MaxGap/notedGap {
-			c.server.track.paused(from, min(gap, c.route.MaxGap*mostGap/100))
+	if c.stream.eventCount > 0 {
+		gap := now.Sub(c.stream.lastEventAt)
+		c.stream.longestPause = max(c.stream.longestPause, gap)
+		if c.route.MaxGap > 0 && gap > c.route.MaxGap/recordedPauseDivisor {
+			c.server.tracker.recordPause(key, min(gap, c.route.MaxGap*maxRecordedPausePercent/100))
 		}
 	}
-	c.stream.events++
-	c.stream.at = now
+	c.stream.eventCount++
+	c.stream.lastEventAt = now
 	if _, err := c.w.Write(event); err != nil {
 		return err
 	}
 	return http.NewResponseController(c.w).Flush()
 }
 
-// head writes the head of the stream's first instance.
-func (c *call) head(res *conns.Response) {
+// writeHead writes the status and header of the stream's first answer, once.
+func (c *call) writeHead(res *conns.Response) {
 	if c.stream != nil {
 		return
 	}
-	c.stream = &stream{last: c.ask.LastEvent}
-	c.first = time.Since(c.arrived)
+	c.stream = &stream{lastEventID: c.request.LastEvent}
+	c.firstOutputAfter = time.Since(c.arrivedAt)
 	c.copyHeader(c.w.Header(), res.Header)
 	c.w.WriteHeader(res.Status)
 }
 
-func (c *call) streamEnded(in site.Instance, res *conns.Response) step {
-	c.head(res)
-	c.server.track.outcome(in.Key, false)
+// endStream ends a request whose stream is complete.
+func (c *call) endStream(in site.Instance, res *conns.Response) nextStep {
+	c.writeHead(res)
+	c.server.tracker.recordOutcome(in.Key, false)
 	c.outcome, c.status = outcomeAnswered, res.Status
-	return done
+	return requestEnded
 }
 
-// streamBroke decides what follows a stream that broke off.
-func (c *call) streamBroke(ctx context.Context, in site.Instance, err error) step {
+// handleBrokenStream decides what follows a stream that ended with an error.
+func (c *call) handleBrokenStream(ctx context.Context, in site.Instance, err error) nextStep {
 	c.reason = err.Error()
 	if ctx.Err() != nil {
-		return again
+		return tryAnother
 	}
-	c.server.track.outcome(in.Key, true)
-	c.note("stream broke", in, c.reason)
-	return c.afterFailure(true)
+	c.server.tracker.recordOutcome(in.Key, true)
+	c.logAttempt("stream ended with an error", in, c.reason)
+	return c.handleFailure(true)
 }
 
-// readEvent reads one event with its closing blank line; what follows the last
-// one is returned with an error.
+// readEvent reads one event including its closing blank line, and its id, which is
+// empty if it has none. Bytes after the last complete event come with an error.
 func readEvent(r *bufio.Reader) (event []byte, id string, err error) {
-	for len(event) < maxEvent {
+	for len(event) < maxEventBytes {
 		line, err := r.ReadSlice('\n')
 		event = append(event, line...)
 		if errors.Is(err, bufio.ErrBufferFull) {
@@ -124,7 +127,7 @@
 		}
 		if err != nil {
 			if errors.Is(err, io.EOF) && len(event) > 0 {
-				return event, id, errEventCut
+				return event, id, errTruncatedEvent
 			}
 			return event, id, err
 		}
@@ -139,6 +142,7 @@
 	return event, id, errors.New("event too long")
 }
 
+// splitList splits a comma-separated header value and drops empty elements.
 func splitList(s string) []string {
 	var out []string
 	for part := range strings.SplitSeq(s, ",") {
--- /dev/null
+++ b/internal/front/relay/tracker.go
@@ -0,0 +1,301 @@
+package relay
+
+import (
+	"slices"
+	"sync"
+	"time"
+
+	"foxtailcroft/internal/core/site"
+	"foxtailcroft/internal/front/peers"
+	"foxtailcroft/internal/policy/fade"
+	"foxtailcroft/internal/policy/speed"
+)
+
+const (
+	// reportedLoadValidity is how long a reported load is used.
+	reportedLoadValidity = 2 * time.Second
+	// newestOutcomeWeight is the weight of the newest outcome in the moving average of failures.
+	newestOutcomeWeight = 0.25
+	// failureShareHalvingTime is the time in which an instance's failure share falls to one half without new outcomes.
+	failureShareHalvingTime = 2 * time.Second
+	// maxPromptParts bounds the prompt parts remembered per instance, apart from those of the last second.
+	maxPromptParts = 512
+)
+
+// instanceTracker keeps this front's statistics of instances, from its own requests and from load reports.
+type instanceTracker struct {
+	mu    sync.Mutex
+	stats map[site.Key]*instanceStats
+	// holders are the instances that the planner named as holding a model or adapter.
+	holders map[site.Adapter]map[site.Key]bool
+	// newRequests counts the requests since the last usage report.
+	newRequests map[site.Adapter]float64
+	// recentRequests are decaying counts of requests, reported to a new planner.
+	recentRequests map[site.Adapter]fade.Count
+	// prefillSpeeds are the learned prefill speeds by model.
+	prefillSpeeds map[string]speed.Reading
+}
+
+// instanceStats is what this front knows of one instance.
+type instanceStats struct {
+	inFlight      map[site.Adapter]int
+	totalInFlight int
+	// newRequests counts the requests sent since the last usage report.
+	newRequests map[site.Adapter]int
+	// pendingPrefill is the expected prefill time of prompts whose answers have not begun.
+	pendingPrefill time.Duration
+	// newPrefill is the expected prefill time of the prompts sent since the last usage report.
+	newPrefill map[site.Adapter]time.Duration
+	// reportedRequests are the running and waiting requests of the newest load report.
+	reportedRequests int
+	reportedAt       time.Time
+	// failureShare is the moving average of failures at failureShareAt.
+	failureShare   float64
+	failureShareAt time.Time
+	// meanAnswerTime is the moving average of the time to an answer that is not streamed.
+	meanAnswerTime time.Duration
+	// longestPause is the decaying longest pause between events of streams, other fronts' streams included.
+	longestPause fade.Peak
+	// newLongestPause is the longest pause in this front's streams since the last usage report, 0 if none was recorded.
+	newLongestPause time.Duration
+	// promptParts are the prompt parts sent to the instance, with the time of the last use.
+	promptParts map[string]time.Time
+	// excludedUntil is the time until which no request is sent, after a refused connection or request.
+	excludedUntil time.Time
+	// absentAt is when the instance last reported that it does not have a model or adapter.
+	absentAt map[site.Adapter]time.Time
+}
+
+func newInstanceTracker() *instanceTracker {
+	return &instanceTracker{stats: map[site.Key]*instanceStats{}, holders: map[site.Adapter]map[site.Key]bool{}, newRequests: map[site.Adapter]float64{}, recentRequests: map[site.Adapter]fade.Count{}, prefillSpeeds: map[string]speed.Reading{}}
+}
+
+// statsOf returns the statistics of an instance, empty ones at first; the caller holds the lock.
+func (t *instanceTracker) statsOf(k site.Key) *instanceStats {
+	s := t.stats[k]
+	if s == nil {
+		s = &instanceStats{inFlight: map[site.Adapter]int{}, newRequests: map[site.Adapter]int{}, newPrefill: map[site.Adapter]time.Duration{}, promptParts: map[string]time.Time{}, absentAt: map[site.Adapter]time.Time{}}
+		t.stats[k] = s
+	}
+	return s
+}
+
+// absenceValidity is how long a rejection for a missing model overrides the instance's announcement, which lags by one heartbeat.
+const absenceValidity = 1500 * time.Millisecond
+
+// currentFailureShare returns the moving average of failures, between 0 and 1, decayed since the last outcome.
+func (s *instanceStats) currentFailureShare(now time.Time) float64 {
+	return s.failureShare * float64(failureShareHalvingTime) / float64(failureShareHalvingTime+now.Sub(s.failureShareAt))
+}
+
+// beginRequest records a request that is sent, and returns the functions that record
+// the beginning of its answer and its end; plain requests count in meanAnswerTime.
+func (t *instanceTracker) beginRequest(k site.Key, r *site.Request, plain bool) (answered func(), ended func()) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.statsOf(k)
+	began := time.Now()
+	uncached := s.uncachedTokens(r)
+	prefill, isOnlyPrompt := t.prefillSpeeds[r.Target.Model].Time(uncached), s.pendingPrefill == 0
+	s.inFlight[r.Target]++
+	s.newRequests[r.Target]++
+	s.totalInFlight++
+	s.pendingPrefill += prefill
+	s.newPrefill[r.Target] += prefill
+	s.rememberPrompt(r, began)
+	answered = sync.OnceFunc(func() {
+		t.mu.Lock()
+		defer t.mu.Unlock()
+		s.pendingPrefill -= prefill
+		if isOnlyPrompt && r.Target.Model != "" {
+			t.prefillSpeeds[r.Target.Model] = t.prefillSpeeds[r.Target.Model].With(uncached, time.Since(began))
+		}
+		if plain {
+			s.meanAnswerTime += (time.Since(began) - s.meanAnswerTime) / 4
+		}
+	})
+	return answered, func() {
+		answered()
+		t.mu.Lock()
+		defer t.mu.Unlock()
+		s.inFlight[r.Target]--
+		s.totalInFlight--
+	}
+}
+
+// rememberPrompt adds a request's prompt parts to those that the instance has read.
+func (s *instanceStats) rememberPrompt(r *site.Request, now time.Time) {
+	for _, p := range r.Parts {
+		s.promptParts[promptPartKey(r.Target, p)] = now
+	}
+	for key, usedAt := range s.promptParts {
+		if len(s.promptParts) <= maxPromptParts {
+			return
+		}
+		if now.Sub(usedAt) > time.Second {
+			delete(s.promptParts, key)
+		}
+	}
+}
+
+// recordOutcome records whether a request to an instance failed.
+func (t *instanceTracker) recordOutcome(k site.Key, failed bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.statsOf(k)
+	now := time.Now()
+	previousShare := s.currentFailureShare(now)
+	s.failureShare, s.failureShareAt = previousShare*(1-newestOutcomeWeight), now
+	if failed {
+		s.failureShare += newestOutcomeWeight
+	}
+}
+
+// recordLoad records the running and waiting requests that an instance had at a time, unless a newer load is known.
+func (t *instanceTracker) recordLoad(k site.Key, requests int, at time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.statsOf(k)
+	if at.After(s.reportedAt) {
+		s.reportedRequests, s.reportedAt = requests, at
+	}
+}
+
+// recordPause records a pause between two events of this front's streams from an instance.
+func (t *instanceTracker) recordPause(k site.Key, gap time.Duration) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.statsOf(k)
+	s.longestPause = s.longestPause.With(gap, time.Now())
+	s.newLongestPause = max(s.newLongestPause, gap)
+}
+
+// recordRemotePause records the longest pause at an instance that other fronts measured.
+func (t *instanceTracker) recordRemotePause(k site.Key, longest time.Duration) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.statsOf(k)
+	s.longestPause = s.longestPause.With(longest, time.Now())
+}
+
+const (
+	// refusedConnectionExclusion is how long no request is sent to an instance after it refused a connection.
+	refusedConnectionExclusion = 700 * time.Millisecond
+	// fullInstanceExclusion is how long no request is sent to an instance after it rejected one because it is full.
+	fullInstanceExclusion = 60 * time.Millisecond
+)
+
+// exclude stops requests to an instance for a duration.
+func (t *instanceTracker) exclude(k site.Key, duration time.Duration) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.statsOf(k)
+	s.excludedUntil = time.Now().Add(duration)
+}
+
+// unusable returns the instances of the list that are excluded or reported a missing model recently.
+func (t *instanceTracker) unusable(list []site.Instance, target site.Adapter) []site.Key {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := time.Now()
+	var out []site.Key
+	for _, in := range list {
+		if s := t.statsOf(in.Key); now.Before(s.excludedUntil) || now.Sub(s.absentAt[target]) < absenceValidity {
+			out = append(out, in.Key)
+		}
+	}
+	return out
+}
+
+// recordAbsence records that an instance does not have a model or adapter.
+func (t *instanceTracker) recordAbsence(k site.Key, target site.Adapter) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.statsOf(k).absentAt[target] = time.Now()
+	delete(t.holders[target], k)
+}
+
+// setHolders replaces the instances that hold a model or adapter.
+func (t *instanceTracker) setHolders(target site.Adapter, keys []site.Key) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	holderSet := map[site.Key]bool{}
+	for _, k := range keys {
+		holderSet[k] = true
+		delete(t.statsOf(k).absentAt, target)
+	}
+	t.holders[target] = holderSet
+}
+
+// filterHolders returns the instances of the list that are known to hold a model or adapter.
+func (t *instanceTracker) filterHolders(list []site.Instance, target site.Adapter) []site.Instance {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	var out []site.Instance
+	for _, in := range list {
+		if t.holders[target][in.Key] || target.Name == "" && slices.Contains(in.Models, target.Model) {
+			out = append(out, in)
+		}
+	}
+	return out
+}
+
+// countRequest counts a request for a model or adapter.
+func (t *instanceTracker) countRequest(target site.Adapter) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.newRequests[target]++
+	t.recentRequests[target] = t.recentRequests[target].Add(1, time.Now())
+}
+
+// minRecentWeight is the weight below which past requests are forgotten.
+const minRecentWeight = 0.2
+
+// takeRequestCounts returns the requests since the last call or, with allRecent, the
+// decayed weight of all; the caller holds the lock.
+func (t *instanceTracker) takeRequestCounts(allRecent bool) []peers.Ask {
+	var out []peers.Ask
+	now := time.Now()
+	for target, c := range t.recentRequests {
+		n := t.newRequests[target]
+		if allRecent {
+			n = c.Weight(now)
+		}
+		if n > 0 {
+			out = append(out, peers.Ask{Target: target, Requests: n})
+		}
+		if c.Weight(now) < minRecentWeight {
+			delete(t.recentRequests, target)
+		}
+	}
+	clear(t.newRequests)
+	return out
+}
+
+// takeUsage returns the usage since the last call, with the decayed weight of all
+// past requests if allRecent is set, and forgets idle instances that are not live.
+func (t *instanceTracker) takeUsage(front string, allRecent bool, live func(site.Key) bool) peers.Uses {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	usage := peers.Uses{Front: front, Asked: t.takeRequestCounts(allRecent)}
+	for k, s := range t.stats {
+		for target, n := range s.inFlight {
+			if n > 0 || s.newRequests[target] > 0 {
+				usage.Uses = append(usage.Uses, peers.Use{Instance: k, Target: target, Requests: s.newRequests[target], InFlight: n, Work: s.newPrefill[target]})
+			}
+			if n == 0 {
+				delete(s.inFlight, target)
+			}
+		}
+		clear(s.newRequests)
+		clear(s.newPrefill)
+		if s.newLongestPause > 0 {
+			usage.Pauses = append(usage.Pauses, peers.Pause{Instance: k, Longest: s.newLongestPause})
+			s.newLongestPause = 0
+		}
+		if s.totalInFlight == 0 && !live(k) {
+			delete(t.stats, k)
+		}
+	}
+	return usage
+}
--- a/internal/node/front/front.go
+++ b/internal/node/front/front.go
@@ -158,7 +158,7 @@
 			continue
 		}
 		first := planner.Fence != fence
-		u := f.relay.Uses(first)
+		u := f.relay.TakeUsage(first)
 		fence = planner.Fence
 		if !first && len(u.Uses) == 0 && len(u.Asked) == 0 && len(u.Pauses) == 0 {
 			continue
@@ -171,7 +171,7 @@
 			}
 			continue
 		}
-		f.relay.SetLoads(board.Loads)
+		f.relay.RecordLoads(board.Loads)
 		f.planner.Learn(board)
 	}
 }
--- a/internal/node/front/ready.go
+++ b/internal/node/front/ready.go
@@ -47,7 +47,7 @@
 func (f *Front) Drain(ctx context.Context) {
 	end := time.Now().Add(f.set.Bounds.Grace - f.set.Bounds.Grace/endShare)
 	f.state.draining.Store(true)
-	f.relay.StopAt(end)
+	f.relay.SetStopTime(end)
 	ctx, cancel := context.WithDeadline(ctx, end)
 	defer cancel()
 	f.lead.Leave(ctx)
