--- a/internal/node/front/callers.go
+++ b/internal/node/front/callers.go
@@ -13,59 +13,61 @@
 )
 
 const (
-	// headerTimeout bounds the reading of a request's head until a configuration says otherwise.
+	// headerTimeout bounds reading a request's header; the configured limit is not applied here.
 	headerTimeout = 5 * time.Second
-	// maxHeaderBytes bounds a request's head; configurations ask for less.
+	// maxHeaderBytes bounds a request's header; the configured limit, a lower one, is not applied here.
 	maxHeaderBytes = 64 << 10
-	// idleExtra is kept beyond the configured idle time, so that a request on its way finds the connection open.
-	idleExtra = time.Second
-	// flushTime bounds the wait for the last answers to leave the process.
-	flushTime = 500 * time.Millisecond
+	// idleTimeoutMargin is added to the configured idle timeout, so that a request
+	// sent just before the timeout still finds its connection open.
+	idleTimeoutMargin = time.Second
+	// flushTimeout bounds the wait for the last answers to be written.
+	flushTimeout = 500 * time.Millisecond
 )
 
-// phase is how far the callers' side has come in stopping; its zero value is that it serves.
-type phase int
+// stopPhase is the progress of stopping a callerServer; its zero value is serving normally.
+type stopPhase int
 
 const (
-	// closing means that connections end with their next answer.
-	closing phase = iota + 1
-	// finishing means that requests are taken until none is under way.
-	finishing
-	// ended means that no request is taken any more.
-	ended
+	// closingConnections means that each connection closes after its next answer.
+	closingConnections stopPhase = iota + 1
+	// finishingRequests means that requests are accepted until none is in flight.
+	finishingRequests
+	// stopped means that requests are no longer accepted.
+	stopped
 )
 
-// callers serves the callers' connections. http.Server may close a connection
-// as idle of which it has just read a request, and would still hand on the
-// request; so a request and the closing of its connection exclude each other here.
-type callers struct {
-	server *http.Server
-	inner  http.Handler
-	sites  *follow.Follower
-	mu     sync.Mutex
-	idle   map[net.Conn]time.Time
-	phase  phase
-	active int
-	// over is closed when the last request has ended.
-	over chan struct{}
-}
-
-// callerConn is a connection of a caller; its fields belong to the lock of its callers.
+// callerServer serves callers' connections. http.Server may close a connection as
+// idle although it has just read a request from it, and still call the handler.
+// So callerServer lets a connection either serve a request or be closed, never both.
+type callerServer struct {
+	server   *http.Server
+	handler  http.Handler
+	follower *follow.Follower
+	mu       sync.Mutex
+	// idleSince is when the idle connections became idle.
+	idleSince      map[net.Conn]time.Time
+	phase          stopPhase
+	activeRequests int
+	// drained is closed when the last request has ended.
+	drained chan struct{}
+}
+
+// callerConn is a connection of a caller; the lock of its server guards its fields.
 type callerConn struct {
 	net.Conn
-	callers *callers
-	// taken is set while a request of the connection is under way.
-	taken  bool
-	closed bool
+	server *callerServer
+	// inRequest is set while a request of the connection is served.
+	inRequest bool
+	closed    bool
 }
 
-// connKey is the key of a request's connection in its context.
+// connKey is the context key of a request's connection.
 type connKey struct{}
 
-func newCallers(h http.Handler, sites *follow.Follower) *callers {
-	c := &callers{inner: h, sites: sites, idle: map[net.Conn]time.Time{}, over: make(chan struct{})}
+func newCallerServer(handler http.Handler, follower *follow.Follower) *callerServer {
+	c := &callerServer{handler: handler, follower: follower, idleSince: map[net.Conn]time.Time{}, drained: make(chan struct{})}
 	c.server = &http.Server{
-		Handler: c, ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: maxHeaderBytes, ConnState: c.moved,
+		Handler: c, ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: maxHeaderBytes, ConnState: c.connStateChanged,
 		ConnContext: func(ctx context.Context, conn net.Conn) context.Context {
 			return context.WithValue(ctx, connKey{}, conn)
 		},
@@ -73,104 +75,106 @@
 	return c
 }
 
-// callerListener gives connections their state.
+// callerListener wraps accepted connections as callerConn.
 type callerListener struct {
 	net.Listener
-	callers *callers
+	server *callerServer
 }
 
-// Accept returns the next connection.
+// Accept returns the next connection as a callerConn.
 func (l callerListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &callerConn{Conn: conn, callers: l.callers}, nil
+	return &callerConn{Conn: conn, server: l.server}, nil
 }
 
-// Close closes the connection, unless a request has been taken from it.
+// Close closes the connection, unless a request of it is being served and the server has not stopped.
 func (k *callerConn) Close() error {
-	k.callers.mu.Lock()
-	if k.taken && k.callers.phase != ended {
-		k.callers.mu.Unlock()
+	k.server.mu.Lock()
+	if k.inRequest && k.server.phase != stopped {
+		k.server.mu.Unlock()
 		return nil
 	}
 	k.closed = true
-	k.callers.mu.Unlock()
+	k.server.mu.Unlock()
 	return k.Conn.Close()
 }
 
-// ServeHTTP hands a request on, unless its connection was closed or the front has ended.
-func (c *callers) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+// ServeHTTP serves a request, or aborts it if its connection was closed or the server has stopped.
+func (c *callerServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	conn, _ := r.Context().Value(connKey{}).(*callerConn)
-	last, ok := c.enter(conn)
+	last, ok := c.beginRequest(conn)
 	if !ok {
 		panic(http.ErrAbortHandler)
 	}
-	defer c.leave(conn)
+	defer c.endRequest(conn)
 	if last {
 		w.Header().Set("Connection", "close")
 	}
-	c.inner.ServeHTTP(w, r)
+	c.handler.ServeHTTP(w, r)
 }
 
-// enter counts a request in; last is true if its connection ends with it.
-func (c *callers) enter(conn *callerConn) (last, ok bool) {
+// beginRequest marks a connection as serving a request; last is true if it closes
+// after the answer, and ok is false if the request must not be served.
+func (c *callerServer) beginRequest(conn *callerConn) (last, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.phase == ended || conn.closed {
+	if c.phase == stopped || conn.closed {
 		return false, false
 	}
-	conn.taken = true
-	c.active++
-	return c.phase >= closing, true
+	conn.inRequest = true
+	c.activeRequests++
+	return c.phase >= closingConnections, true
 }
 
-func (c *callers) leave(conn *callerConn) {
+// endRequest marks the request of a connection as ended.
+func (c *callerServer) endRequest(conn *callerConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	conn.taken = false
-	c.active--
-	c.endIfQuiet()
+	conn.inRequest = false
+	c.activeRequests--
+	c.stopIfIdle()
 }
 
-// endIfQuiet ends the taking of requests if none is under way; the caller holds the lock.
-func (c *callers) endIfQuiet() {
-	if c.phase == finishing && c.active == 0 {
-		c.phase = ended
-		close(c.over)
+// stopIfIdle stops accepting requests if the server is finishing and none is in flight; the caller holds the lock.
+func (c *callerServer) stopIfIdle() {
+	if c.phase == finishingRequests && c.activeRequests == 0 {
+		c.phase = stopped
+		close(c.drained)
 	}
 }
 
-// moved notes when a connection turns idle.
-func (c *callers) moved(conn net.Conn, state http.ConnState) {
+// connStateChanged records when connections become idle.
+func (c *callerServer) connStateChanged(conn net.Conn, state http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if state == http.StateIdle {
-		c.idle[conn] = time.Now()
+		c.idleSince[conn] = time.Now()
 		return
 	}
-	delete(c.idle, conn)
+	delete(c.idleSince, conn)
 }
 
-// sweep closes connections that have been idle for longer than the configuration in force allows.
-func (c *callers) sweep() {
-	doc := c.sites.State().Document
+// closeIdle closes connections that have been idle for longer than the current configuration allows.
+func (c *callerServer) closeIdle() {
+	doc := c.follower.State().Document
 	if doc == nil || doc.Limits.IdleTimeout <= 0 {
 		return
 	}
-	for _, conn := range c.idleSince(time.Now().Add(-doc.Limits.IdleTimeout - idleExtra)) {
-		// The connection leaves the map by its state's change.
+	for _, conn := range c.connsIdleBefore(time.Now().Add(-doc.Limits.IdleTimeout - idleTimeoutMargin)) {
+		// connStateChanged removes the connection from the map.
 		_ = conn.Close()
 	}
 }
 
-// idleSince returns the connections that have been idle since a time or longer.
-func (c *callers) idleSince(t time.Time) []net.Conn {
+// connsIdleBefore returns the connections that became idle before a time.
+func (c *callerServer) connsIdleBefore(t time.Time) []net.Conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out []net.Conn
-	for conn, since := range c.idle {
+	for conn, since := range c.idleSince {
 		if since.Before(t) {
 			out = append(out, conn)
 		}
@@ -178,37 +182,38 @@
 	return out
 }
 
-func (c *callers) serve(l net.Listener) error {
-	return closedIsFine(c.server.Serve(callerListener{l, c}))
+// serve accepts connections until the server is closed.
+func (c *callerServer) serve(l net.Listener) error {
+	return ignoreServerClosed(c.server.Serve(callerListener{l, c}))
 }
 
-// closeAfterAnswers ends connections with their next answer.
-func (c *callers) closeAfterAnswers() {
+// closeAfterAnswers makes each connection close after its next answer.
+func (c *callerServer) closeAfterAnswers() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.phase = max(c.phase, closing)
+	c.phase = max(c.phase, closingConnections)
 }
 
-// finish takes no new connections and waits until no request is under way,
-// after which none is taken; the error is ctx's.
-func (c *callers) finish(ctx context.Context) error {
+// drain accepts no new connections and waits until no request is in flight, after
+// which requests are no longer accepted; it returns an error only if ctx ends first.
+func (c *callerServer) drain(ctx context.Context) error {
 	c.mu.Lock()
-	c.phase = max(c.phase, finishing)
-	c.endIfQuiet()
+	c.phase = max(c.phase, finishingRequests)
+	c.stopIfIdle()
 	c.mu.Unlock()
-	flush, cancel := context.WithCancel(ctx)
+	flushCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	flushed := make(chan error, 1)
 	var group conc.WaitGroup
 	defer group.Wait()
-	group.Go(func() { flushed <- c.server.Shutdown(flush) })
+	group.Go(func() { flushed <- c.server.Shutdown(flushCtx) })
 	select {
-	case <-c.over:
+	case <-c.drained:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	// What the server still waits for are answers on their way out, or connections that never carried a request.
-	timer := time.AfterFunc(flushTime, cancel)
+	// Shutdown still waits for answers being written, and for connections that never carried a request.
+	timer := time.AfterFunc(flushTimeout, cancel)
 	defer timer.Stop()
 	if err := <-flushed; err != nil && ctx.Err() != nil {
 		return err
@@ -216,10 +221,11 @@
 	return nil
 }
 
-func (c *callers) close() {
+// close stops accepting requests and closes all connections at once.
+func (c *callerServer) close() {
 	c.mu.Lock()
-	c.phase = ended
+	c.phase = stopped
 	c.mu.Unlock()
-	// The process ends; a connection that fails to close ends with it.
+	// The process is about to exit, which closes any connection that fails to close here.
 	_ = c.server.Close()
 }
--- a/internal/node/front/callers_test.go
+++ b/internal/node/front/callers_test.go
@@ -11,17 +11,17 @@
 	. "github.com/onsi/gomega"
 )
 
-// pair returns callers that count the requests handed on, and one connection of theirs.
-func pair() (c *callers, conn *callerConn, handed *int) {
-	handed = new(int)
-	c = newCallers(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { *handed++ }), nil)
-	near, _ := net.Pipe()
-	return c, &callerConn{Conn: near, callers: c}, handed
+// newCallerServerWithConn returns a callerServer, a connection of it, and its count of served requests.
+func newCallerServerWithConn() (c *callerServer, conn *callerConn, served *int) {
+	served = new(int)
+	c = newCallerServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { *served++ }), nil)
+	connEnd, _ := net.Pipe()
+	return c, &callerConn{Conn: connEnd, server: c}, served
 }
 
-// serveOn hands a request of a connection to the callers, as http.Server does
-// after reading its head; aborted is true if the answer was broken off.
-func serveOn(c *callers, conn net.Conn) (w *httptest.ResponseRecorder, aborted bool) {
+// serveRequest calls the handler with a request of a connection, as http.Server does
+// after reading the header; aborted is true if the handler was aborted.
+func serveRequest(c *callerServer, conn net.Conn) (w *httptest.ResponseRecorder, aborted bool) {
 	ctx := context.WithValue(context.Background(), connKey{}, conn)
 	w = httptest.NewRecorder()
 	defer func() { aborted = recover() != nil }()
@@ -29,45 +29,45 @@
 	return w, false
 }
 
-// TestRequestOfAClosedConnectionIsNotHandedOn closes a connection as idle after
-// the server has read a request of it and before it knows.
-func TestRequestOfAClosedConnectionIsNotHandedOn(t *testing.T) {
+// TestRequestOfClosedConnectionIsNotServed closes a connection as idle after
+// http.Server has read a request from it, but before the handler is called.
+func TestRequestOfClosedConnectionIsNotServed(t *testing.T) {
 	g := NewWithT(t)
-	c, conn, handed := pair()
-	c.moved(conn, http.StateIdle)
-	for _, idle := range c.idleSince(time.Now().Add(time.Second)) {
+	c, conn, served := newCallerServerWithConn()
+	c.connStateChanged(conn, http.StateIdle)
+	for _, idle := range c.connsIdleBefore(time.Now().Add(time.Second)) {
 		g.Expect(idle.Close()).To(Succeed())
 	}
-	_, aborted := serveOn(c, conn)
+	_, aborted := serveRequest(c, conn)
 	g.Expect(aborted).To(BeTrue())
-	g.Expect(*handed).To(BeZero())
+	g.Expect(*served).To(BeZero())
 }
 
-// TestConnectionWithARequestIsNotClosed closes a connection as idle, as
-// http.Server may when it stops, at the moment at which a request of it was taken.
-func TestConnectionWithARequestIsNotClosed(t *testing.T) {
+// TestConnectionInUseIsNotClosed closes a connection while it serves a request, as
+// http.Server may do on shutdown if it still considers the connection idle.
+func TestConnectionInUseIsNotClosed(t *testing.T) {
 	g := NewWithT(t)
-	c, conn, _ := pair()
-	c.inner = http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
+	c, conn, _ := newCallerServerWithConn()
+	c.handler = http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		g.Expect(conn.Close()).To(Succeed())
 		g.Expect(conn.closed).To(BeFalse())
 	})
-	_, aborted := serveOn(c, conn)
+	_, aborted := serveRequest(c, conn)
 	g.Expect(aborted).To(BeFalse())
 	g.Expect(conn.Close()).To(Succeed())
 	g.Expect(conn.closed).To(BeTrue())
 }
 
-func TestPhasesOfStopping(t *testing.T) {
+func TestStopPhases(t *testing.T) {
 	g := NewWithT(t)
-	c, conn, handed := pair()
-	w, _ := serveOn(c, conn)
+	c, conn, served := newCallerServerWithConn()
+	w, _ := serveRequest(c, conn)
 	g.Expect(w.Header().Get("Connection")).To(BeEmpty())
 	c.closeAfterAnswers()
-	w, _ = serveOn(c, conn)
+	w, _ = serveRequest(c, conn)
 	g.Expect(w.Header().Get("Connection")).To(Equal("close"))
-	g.Expect(c.finish(context.Background())).To(Succeed())
-	_, aborted := serveOn(c, conn)
+	g.Expect(c.drain(context.Background())).To(Succeed())
+	_, aborted := serveRequest(c, conn)
 	g.Expect(aborted).To(BeTrue())
-	g.Expect(*handed).To(Equal(2))
+	g.Expect(*served).To(Equal(2))
 }
--- a/internal/node/front/drawn_test.go
+++ b/internal/node/front/deployment_test.go
@@ -17,40 +17,40 @@
 
 func TestMain(m *testing.M) { draws.Main(m, 30) }
 
-// deployment is one drawn: its bounds, sizes and names differ from those of the known sites.
+// deployment is a randomly drawn deployment; its bounds, sizes and names differ from those of the existing ones.
 type deployment struct {
-	fronts  int
-	zones   int
-	grace   time.Duration
-	inForce time.Duration
-	drain   time.Duration
-	kind    string
-	prefix  string
-	service string
-	engine  bool
-	leave   bool
-	bounds  map[string]any
+	fronts       int
+	zones        int
+	grace        time.Duration
+	inForce      time.Duration
+	drain        time.Duration
+	kind         string
+	prefix       string
+	service      string
+	engine       bool
+	serverLeaves bool
+	bounds       map[string]any
 }
 
 func drawDeployment(rt *rapid.T) deployment {
-	ms := func(name string, from, to int) int { return rapid.IntRange(from, to).Draw(rt, name) }
+	intBetween := func(name string, low, high int) int { return rapid.IntRange(low, high).Draw(rt, name) }
 	word := rapid.StringMatching(`[a-z]{3,9}`)
 	d := deployment{
-		fronts: ms("fronts", 1, 5), zones: ms("zones", 1, 4), kind: rapid.SampledFrom([]string{"safe", "unsafe"}).Draw(rt, "kind"),
+		fronts: intBetween("fronts", 1, 5), zones: intBetween("zones", 1, 4), kind: rapid.SampledFrom([]string{"safe", "unsafe"}).Draw(rt, "kind"),
 		prefix: "/" + word.Draw(rt, "prefix") + "/", service: "s-" + word.Draw(rt, "service"), engine: rapid.Bool().Draw(rt, "engine"),
-		leave: rapid.Bool().Draw(rt, "leave"),
+		serverLeaves: rapid.Bool().Draw(rt, "leave"),
 	}
-	grace, inForce, drain := ms("grace", 3, 30), ms("inForce", 1000, 8000), ms("drain", 1000, 8000)
-	d.grace, d.inForce, d.drain = time.Duration(grace)*time.Second, time.Duration(inForce)*time.Millisecond, time.Duration(drain)*time.Millisecond
+	graceSeconds, inForceMs, drainMs := intBetween("grace", 3, 30), intBetween("inForce", 1000, 8000), intBetween("drain", 1000, 8000)
+	d.grace, d.inForce, d.drain = time.Duration(graceSeconds)*time.Second, time.Duration(inForceMs)*time.Millisecond, time.Duration(drainMs)*time.Millisecond
 	d.bounds = map[string]any{
-		"graceS": grace, "configurationMs": inForce, "drainMs": drain, "contactMs": ms("contact", 1500, 9000), "leaseMs": ms("lease", 1000, 9000),
-		"budgetRatio": rapid.Float64Range(0, 1).Draw(rt, "ratio"), "budgetSlack": ms("slack", 0, 200), "fenceRequired": rapid.Bool().Draw(rt, "fence"),
-		"ceilingWindowS": ms("window", 1, 20), "passMs": 120, "unheardOfMs": 7,
+		"graceS": graceSeconds, "configurationMs": inForceMs, "drainMs": drainMs, "contactMs": intBetween("contact", 1500, 9000), "leaseMs": intBetween("lease", 1000, 9000),
+		"budgetRatio": rapid.Float64Range(0, 1).Draw(rt, "ratio"), "budgetSlack": intBetween("slack", 0, 200), "fenceRequired": rapid.Bool().Draw(rt, "fence"),
+		"ceilingWindowS": intBetween("window", 1, 20), "passMs": 120, "unheardOfMs": 7,
 	}
 	return d
 }
 
-// settings are the settings file of one front.
+// settings returns the settings file of a front, with fields that the front does not know.
 func (d deployment) settings(rt *rapid.T, i int) []byte {
 	zones := map[string]string{}
 	for z := range d.zones {
@@ -71,7 +71,7 @@
 	return data
 }
 
-// document is version n of the operator's document; the prefix has the version in it.
+// document returns version n of the operator's document, whose path prefix contains n.
 func (d deployment) document(n int) string {
 	engine := ""
 	if d.engine {
@@ -82,8 +82,8 @@
 "services":[{"name":"%s"},{"name":"model"%s}],"limits":{"bodyBytes":1000,"idleTimeoutMs":3000}}`, n*7, d.service, d.prefix, n, d.kind, d.service, d.service, engine)
 }
 
-// ask sends a request to a front and returns the answer's status.
-func (r *rig) ask(address, path, id string) int {
+// status sends a request to a front and returns the answer's status.
+func (r *harness) status(address, path, id string) int {
 	req, err := http.NewRequestWithContext(r.ctx, http.MethodPost, "http://"+address+path, strings.NewReader("x"))
 	r.g.Expect(err).NotTo(HaveOccurred())
 	req.Host = "h.example"
@@ -94,9 +94,9 @@
 	return res.StatusCode
 }
 
-// TestDrawnDeployments starts fronts by settings of deployments that nobody has
-// seen: they are ready, serve, follow a change and a leaving server within the
-// bounds of the settings, and end within their grace.
+// TestDrawnDeployments starts fronts with the settings of drawn deployments: the
+// fronts serve, apply a configuration change and a server's leaving within the
+// bounds of their settings, and drain within the grace period.
 func TestDrawnDeployments(t *testing.T) {
 	t.Logf("FOXTAILCROFT_SEED=%d", draws.Seed())
 	rapid.Check(t, func(rt *rapid.T) {
@@ -105,13 +105,14 @@
 		for i := range d.fronts {
 			files = append(files, d.settings(rt, i))
 		}
-		play(t, func(r *rig) { d.play(r, files) })
+		withHarness(t, func(r *harness) { d.checkFronts(r, files) })
 	})
 }
 
-func (d deployment) play(r *rig, files [][]byte) {
-	r.write(platform.ConfigKey, d.document(1))
-	first, _ := r.server("i-1", d.service), r.server("i-22", d.service)
+// checkFronts starts a front per settings file and checks what TestDrawnDeployments states.
+func (d deployment) checkFronts(r *harness, files [][]byte) {
+	r.writeKey(platform.ConfigKey, d.document(1))
+	first, _ := r.startServer("i-1", d.service), r.startServer("i-22", d.service)
 	var fronts []*Front
 	for _, file := range files {
 		set, err := platform.DecodeSettings("settings.json", file)
@@ -121,24 +122,24 @@
 		fronts = append(fronts, f)
 	}
 	time.Sleep(3 * time.Second)
-	all := func(path, id string, want int) {
+	expectStatus := func(path, id string, want int) {
 		for i := range fronts {
-			r.g.Expect(r.ask(fmt.Sprintf("10.9.0.%d:1", i+1), path, fmt.Sprintf("%s-%d", id, i))).To(Equal(want), "%s at front %d", id, i)
+			r.g.Expect(r.status(fmt.Sprintf("10.9.0.%d:1", i+1), path, fmt.Sprintf("%s-%d", id, i))).To(Equal(want), "status of request %s at front %d", id, i)
 		}
 	}
-	all(d.prefix+"v1/x", "old", http.StatusOK)
-	if d.leave {
+	expectStatus(d.prefix+"v1/x", "old", http.StatusOK)
+	if d.serverLeaves {
 		first.Leave()
 	}
-	r.write(platform.ConfigKey, d.document(2))
+	r.writeKey(platform.ConfigKey, d.document(2))
 	time.Sleep(max(d.inForce, d.drain))
-	all(d.prefix+"v2/x", "new", http.StatusOK)
-	all(d.prefix+"v1/x", "gone", http.StatusNotFound)
+	expectStatus(d.prefix+"v2/x", "new", http.StatusOK)
+	expectStatus(d.prefix+"v1/x", "gone", http.StatusNotFound)
 	for i := range fronts {
-		runs := r.book.Runs(fmt.Sprintf("new-%d", i))
+		runs := r.executions.Runs(fmt.Sprintf("new-%d", i))
 		r.g.Expect(runs).To(HaveLen(1))
-		if d.leave {
-			r.g.Expect(runs[0].Server).To(Equal("i-22"), "a server that leaves gets nothing after the bound")
+		if d.serverLeaves {
+			r.g.Expect(runs[0].Server).To(Equal("i-22"), "a leaving server receives no requests after the time limit for changes")
 		}
 	}
 	began := time.Now()
--- a/internal/node/front/doc.go
+++ b/internal/node/front/doc.go
@@ -1,3 +1,4 @@
-// Package front assembles the front process: callers' listener, the view of
-// the site, the planner, and what fronts tell one another.
+// Package front assembles the front process, which accepts callers' requests: the
+// callers' listener, the replicated state of the deployment, the planner, and the
+// messages between fronts.
 package front
--- a/internal/node/front/front.go
+++ b/internal/node/front/front.go
@@ -23,34 +23,36 @@
 	"foxtailcroft/internal/plat/store"
 )
 
-// Dialect is all that the front needs translated.
+// Dialect translates the deployment's headers, orders and stored documents.
 type Dialect interface {
 	relay.Dialect
 	orders.Dialect
 	follow.Decoder
 }
 
-// Store is the metadata store as the front uses it.
+// Store is the part of the metadata store that the front uses.
 type Store interface {
 	store.Store
 	orders.Leases
 }
 
-// Options are the parts that differ between deployments.
+// Options are the settings and dependencies of a front.
 type Options struct {
 	Settings conf.Front
 	Store    Store
 	Dialect  Dialect
 	Layout   follow.Layout
-	// Dial opens connections to instances, and DialPeers to other fronts.
-	Dial      conns.Dial
+	// Dial opens connections to instances.
+	Dial conns.Dial
+	// DialPeers opens connections to other fronts.
 	DialPeers peer.Dialer
+	// ReadyPath is the path of the readiness check.
 	ReadyPath string
 	Meters    *metrics.Set
 	Log       *zap.Logger
 }
 
-// Listeners are the open listeners of a front; Metrics may be nil.
+// Listeners are the open listeners of a front; a nil Metrics serves no metrics.
 type Listeners struct {
 	Callers net.Listener
 	Ready   net.Listener
@@ -60,45 +62,45 @@
 
 // Front is a front process.
 type Front struct {
-	set      conf.Front
-	follower *follow.Follower
-	lead     *orders.Lead
-	planner  *orders.Planner
-	peers    *peers.Peers
-	relay    *relay.Server
-	pool     *conns.Pool
-	mux      *peer.Mux
-	hello    func() peer.Hello
-	callers  *callers
-	opts     Options
-	log      *zap.SugaredLogger
-	state    lifecycle
+	settings     conf.Front
+	follower     *follow.Follower
+	election     *orders.Lead
+	planner      *orders.Planner
+	peers        *peers.Peers
+	relay        *relay.Server
+	pool         *conns.Pool
+	mux          *peer.Mux
+	hello        func() peer.Hello
+	callerServer *callerServer
+	options      Options
+	log          *zap.SugaredLogger
+	lifecycle    lifecycle
 }
 
-// New returns a front that does not serve yet, and the function that closes it.
+// New returns a front that does not serve yet, and a function that closes its connections and its planner.
 func New(o Options) (*Front, func()) {
 	log := o.Log.Sugar()
-	set := o.Settings
-	follower := follow.New(set.Node.Name, o.Store, o.Dialect, o.Layout, follow.Times{
-		Returning: set.Bounds.Returning, Gather: min(set.Bounds.InForce, set.Bounds.Drain) * gatherShare / 10,
+	settings := o.Settings
+	follower := follow.New(settings.Node.Name, o.Store, o.Dialect, o.Layout, follow.Times{
+		Returning: settings.Bounds.Returning, Gather: min(settings.Bounds.InForce, settings.Bounds.Drain) * gatherTenths / 10,
 	}, log.Named("Follow"))
 	pool, closePool := conns.New(o.Dial, o.Meters)
-	lead := orders.NewLead(orders.LeadOptions{
-		Name: set.Node.Name, Address: set.Listen.Peers, MinLease: set.Bounds.MinLease, Processor: set.Processor, Boot: clock.SinceBoot,
+	election := orders.NewLead(orders.LeadOptions{
+		Name: settings.Node.Name, Address: settings.Listen.Peers, MinLease: settings.Bounds.MinLease, Processor: settings.Processor, Boot: clock.SinceBoot,
 	}, o.Store, follower.State, log.Named("Lead"))
 	planner, closePlanner := orders.New(orders.Settings{
-		Node: set.Node.Name, ChecksFence: set.ChecksFence, LoadWindow: set.Bounds.LoadWindow, TurnGap: set.Bounds.Lease,
-	}, lead, follower.State, pool, o.Dialect, o.Meters, log.Named("Planner"))
+		Node: settings.Node.Name, ChecksFence: settings.ChecksFence, LoadWindow: settings.Bounds.LoadWindow, TurnGap: settings.Bounds.Lease,
+	}, election, follower.State, pool, o.Dialect, o.Meters, log.Named("Planner"))
 	mux := peer.NewMux()
-	hello := func() peer.Hello { return peer.Hello{Node: set.Node.Name} }
+	hello := func() peer.Hello { return peer.Hello{Node: settings.Node.Name} }
 	links, closeLinks := peer.NewPool(o.DialPeers, mux, hello)
-	m := peers.New(lead.Self, links, mux, follower, set.Seeds, planner)
-	follower.SetPeers(m)
+	frontPeers := peers.New(election.Self, links, mux, follower, settings.Seeds, planner)
+	follower.SetPeers(frontPeers)
 	f := &Front{
-		set: set, follower: follower, lead: lead, planner: planner, peers: m, pool: pool, mux: mux, hello: hello, opts: o, log: log,
-		relay: relay.New(set, follower, pool, o.Dialect, m, o.Meters, log.Named("Relay")),
+		settings: settings, follower: follower, election: election, planner: planner, peers: frontPeers, pool: pool, mux: mux, hello: hello, options: o, log: log,
+		relay: relay.New(settings, follower, pool, o.Dialect, frontPeers, o.Meters, log.Named("Relay")),
 	}
-	f.callers = newCallers(f.relay, follower)
+	f.callerServer = newCallerServer(f.relay, follower)
 	return f, func() {
 		closeLinks()
 		closePlanner()
@@ -107,67 +109,68 @@
 }
 
 const (
-	// gatherShare is the part, in tenths, of the time for changes to be in force in which they are left to gather.
-	gatherShare = 3
-	// useEvery is how often a front reports usage to the planner.
-	useEvery = 500 * time.Millisecond
-	// usePerFront is the least time between the reports of two fronts.
-	usePerFront = 30 * time.Millisecond
-	// sweepEvery is how often idle connections are looked through.
-	sweepEvery = 500 * time.Millisecond
+	// gatherTenths is the part, in tenths, of the shorter time limit for configurations and
+	// leaving servers to take effect in which the follower batches changes.
+	gatherTenths = 3
+	// minUsageInterval is the shortest interval of a front's usage reports to the planner.
+	minUsageInterval = 500 * time.Millisecond
+	// usageIntervalPerFront is the shortest mean time between two reports that the planner receives from all fronts.
+	usageIntervalPerFront = 30 * time.Millisecond
+	// idleSweepInterval is the time between two searches for idle connections to close.
+	idleSweepInterval = 500 * time.Millisecond
 )
 
-// Start serves on the listeners.
+// Start starts serving on the listeners, and all background tasks of the front.
 func (f *Front) Start(t *tree.Tree, l Listeners) {
 	peerServer, closePeerServer := peer.NewServer(l.Peers, f.mux, f.hello)
 	t.OnClose(closePeerServer)
 	t.Critical("Peers", peerServer.Serve)
-	t.Critical("Ready", f.serveAside(t, l.Ready, f.readyHandler()))
+	t.Critical("Ready", f.auxiliaryServer(t, l.Ready, f.readyHandler()))
 	if l.Metrics != nil {
-		t.Critical("Metrics", f.serveAside(t, l.Metrics, f.metricsHandler()))
+		t.Critical("Metrics", f.auxiliaryServer(t, l.Metrics, f.metricsHandler()))
 	}
-	t.OnClose(f.callers.close)
-	t.Critical("Callers", func(context.Context) error { return f.callers.serve(l.Callers) })
+	t.OnClose(f.callerServer.close)
+	t.Critical("Callers", func(context.Context) error { return f.callerServer.serve(l.Callers) })
 	t.Keep("Follow", f.follower.Run)
 	t.Keep("Reread", f.follower.RunReread)
 	t.Keep("Peers", f.follower.RunPeers)
 	t.Keep("Missing", f.follower.RunMissing)
-	t.Keep("Lead", f.lead.Run)
+	t.Keep("Lead", f.election.Run)
 	t.Keep("Planner", f.planner.Run)
 	t.Keep("Reports", f.planner.RunReports)
 	t.Keep("Uses", f.reportUsage)
-	t.Keep("Sweep", f.sweep)
+	t.Keep("Sweep", f.closeIdleConnections)
 }
 
-// serveAside serves a small handler beside the callers.
-func (f *Front) serveAside(t *tree.Tree, l net.Listener, h http.Handler) func(context.Context) error {
+// auxiliaryServer returns a function that serves a handler on its own listener, apart from callers' requests.
+func (f *Front) auxiliaryServer(t *tree.Tree, l net.Listener, h http.Handler) func(context.Context) error {
 	server := &http.Server{Handler: h, ReadHeaderTimeout: 2 * time.Second}
 	t.OnClose(func() {
-		// The process ends; a connection that fails to close ends with it.
+		// The process is about to exit, which closes any connection that fails to close here.
 		_ = server.Close()
 	})
-	return func(context.Context) error { return closedIsFine(server.Serve(l)) }
+	return func(context.Context) error { return ignoreServerClosed(server.Serve(l)) }
 }
 
-// reportUsage reports this front's usage to the planner, if there is any.
+// reportUsage periodically reports this front's usage to the planner; without a planner it waits.
 func (f *Front) reportUsage(ctx context.Context) {
-	var fence int64
-	for pause.For(ctx, f.useInterval()) {
+	var reportedFence int64
+	for pause.For(ctx, f.usageInterval()) {
 		planner := f.follower.State().Planner
 		if planner == nil {
 			continue
 		}
-		first := planner.Fence != fence
-		u := f.relay.TakeUsage(first)
-		fence = planner.Fence
-		if !first && len(u.Uses) == 0 && len(u.Asked) == 0 && len(u.Pauses) == 0 {
+		isNewPlanner := planner.Fence != reportedFence
+		usage := f.relay.TakeUsage(isNewPlanner)
+		reportedFence = planner.Fence
+		if !isNewPlanner && len(usage.Uses) == 0 && len(usage.Asked) == 0 && len(usage.Pauses) == 0 {
 			continue
 		}
-		board, err := f.peers.Use(ctx, u)
+		board, err := f.peers.Use(ctx, usage)
 		if err != nil {
-			f.log.Debugw("usage not reported", "Error", err.Error())
-			if first {
-				fence = 0
+			f.log.Debugw("usage report to the planner failed; sending the next one after the usual interval", "Error", err.Error())
+			if isNewPlanner {
+				reportedFence = 0
 			}
 			continue
 		}
@@ -176,19 +179,21 @@
 	}
 }
 
-// useInterval grows with the number of fronts, so that the planner's work does not.
-func (f *Front) useInterval() time.Duration {
-	return max(useEvery, time.Duration(len(f.follower.State().Fronts))*usePerFront)
+// usageInterval returns the time between two usage reports. It grows with the number
+// of fronts, so that the planner's load does not.
+func (f *Front) usageInterval() time.Duration {
+	return max(minUsageInterval, time.Duration(len(f.follower.State().Fronts))*usageIntervalPerFront)
 }
 
-// sweep closes idle connections to instances that are gone, and to callers that were idle for too long.
-func (f *Front) sweep(ctx context.Context) {
-	for pause.For(ctx, sweepEvery) {
+// closeIdleConnections periodically closes idle connections to instances that are
+// gone or leaving, and connections of callers that were idle for too long.
+func (f *Front) closeIdleConnections(ctx context.Context) {
+	for pause.For(ctx, idleSweepInterval) {
 		state := f.follower.State()
 		f.pool.Sweep(func(k site.Key) bool {
 			in, ok := state.Instances[k.ID]
 			return ok && in.Key == k && !in.Leaving
 		})
-		f.callers.sweep()
+		f.callerServer.closeIdle()
 	}
 }
--- a/internal/node/front/front_test.go
+++ b/internal/node/front/front_test.go
@@ -26,41 +26,42 @@
 	"foxtailcroft/test/pipes"
 )
 
-// rig is a front before stand-ins in one synctest bubble.
-type rig struct {
-	g      *WithT
-	ctx    context.Context
-	net    *pipes.Network
-	memory *platf.Memory
-	store  *mimic.Store
-	book   *mimic.Book
-	client *http.Client
+// harness provides a store, servers and a network for fronts in one synctest bubble.
+type harness struct {
+	g          *WithT
+	ctx        context.Context
+	network    *pipes.Network
+	memory     *platf.Memory
+	store      *mimic.Store
+	executions *mimic.Book
+	client     *http.Client
 }
 
 const grace = 8 * time.Second
 
-func play(t *testing.T, test func(*rig)) {
+// withHarness runs a test with a new harness.
+func withHarness(t *testing.T, test func(*harness)) {
 	synctest.Test(t, func(t *testing.T) {
-		r := &rig{g: NewWithT(t), ctx: t.Context(), net: pipes.New(), memory: platf.NewMemory(1), book: &mimic.Book{}}
+		r := &harness{g: NewWithT(t), ctx: t.Context(), network: pipes.New(), memory: platf.NewMemory(1), executions: &mimic.Book{}}
 		r.store = mimic.NewStore(r.memory)
-		r.net.Serve("store:1", r.store)
+		r.network.Serve("store:1", r.store)
 		transport := &http.Transport{DialContext: r.dial}
 		r.client = &http.Client{Transport: transport}
 		defer func() {
 			transport.CloseIdleConnections()
-			r.net.Close()
+			r.network.Close()
 			time.Sleep(time.Minute)
 		}()
 		test(r)
 	})
 }
 
-func (r *rig) dial(ctx context.Context, _, address string) (net.Conn, error) {
-	return r.net.Dial(ctx, address)
+func (r *harness) dial(ctx context.Context, _, address string) (net.Conn, error) {
+	return r.network.Dial(ctx, address)
 }
 
-// start starts a front that knows seeds, and returns it with the function that ends it.
-func (r *rig) start(name string, seeds ...string) (*Front, func()) {
+// start starts a front with seeds, and returns it with the function that stops it.
+func (r *harness) start(name string, seeds ...string) (*Front, func()) {
 	return r.startWith(conf.Front{
 		Node: conf.Node{Name: name, Domain: "a"}, Listen: conf.FrontListen{Callers: name + ":1", Ready: name + ":2", Peers: name + ":3"},
 		ChecksFence: true, Seeds: seeds, Retry: conf.RetryBudget{Ratio: 0.2, Slack: 58},
@@ -71,8 +72,8 @@
 	})
 }
 
-// startWith starts a front by its settings.
-func (r *rig) startWith(set conf.Front) (*Front, func()) {
+// startWith starts a front with settings, and returns it with the function that stops it.
+func (r *harness) startWith(set conf.Front) (*Front, func()) {
 	transport := &http.Transport{DialContext: r.dial}
 	meters := metrics.NewSet()
 	f, closeFront := New(Options{
@@ -82,10 +83,10 @@
 			DocumentKey: platform.ConfigKey, InstancePrefix: platform.ServerPrefix,
 			Prefixes: []string{platform.OperatorPrefix, platform.ServerPrefix, follow.OwnPrefix},
 		},
-		Dial: r.net.Dial, DialPeers: r.net.Dial, ReadyPath: platform.ReadyPath, Meters: meters, Log: zap.NewNop(),
+		Dial: r.network.Dial, DialPeers: r.network.Dial, ReadyPath: platform.ReadyPath, Meters: meters, Log: zap.NewNop(),
 	})
 	parts, closeTree := tree.New(r.ctx, zap.NewNop())
-	f.Start(parts, Listeners{Callers: r.net.Listen(set.Listen.Callers), Ready: r.net.Listen(set.Listen.Ready), Peers: r.net.Listen(set.Listen.Peers)})
+	f.Start(parts, Listeners{Callers: r.network.Listen(set.Listen.Callers), Ready: r.network.Listen(set.Listen.Ready), Peers: r.network.Listen(set.Listen.Peers)})
 	return f, func() {
 		closeFront()
 		closeTree()
@@ -93,33 +94,35 @@
 	}
 }
 
-func (r *rig) write(key, value string) {
+func (r *harness) writeKey(key, value string) {
 	_, err := r.memory.Commit(r.ctx, store.Txn{Puts: []store.Put{{Key: key, Value: []byte(value)}}})
 	r.g.Expect(err).NotTo(HaveOccurred())
 }
 
-// configure writes a document with a streaming route to m and a plain route of a name.
-func (r *rig) configure(version int, route string) {
-	r.write(platform.ConfigKey, fmt.Sprintf(`{"version":%d,"routes":[
+// configure writes a document with a streaming route to llm and a plain route with a path prefix.
+func (r *harness) configure(version int, route string) {
+	r.writeKey(platform.ConfigKey, fmt.Sprintf(`{"version":%d,"routes":[
 {"name":"s","host":"h.example","pathPrefix":"/stream/","kind":"streaming","timeoutMs":15000,"responseGoalMs":4000,"service":"llm","attempts":1,"gapTargetMs":400},
 {"name":"p","host":"h.example","pathPrefix":"/%s/","kind":"unsafe","timeoutMs":5000,"service":"desk","attempts":1}],
 "services":[{"name":"llm","engine":{"slots":8,"weightsMb":220000,"adapterSlots":8,"loadsPerS":2,"models":[{"name":"m","weightsMb":70000,"loadS":1}]}},{"name":"desk"}],
 "limits":{"bodyBytes":1000000,"idleTimeoutMs":15000}}`, version, route))
 }
 
-func (r *rig) server(id, service string, models ...string) *mimic.Server {
+// startServer starts and announces a server of a service that has models loaded.
+func (r *harness) startServer(id, service string, models ...string) *mimic.Server {
 	var s *mimic.Server
-	write := func() { r.write(s.Key(), string(s.Announcement())) }
+	write := func() { r.writeKey(s.Key(), string(s.Announcement())) }
 	s = mimic.NewServer(mimic.Spec{
 		ID: id, Born: 1, Service: service, Address: "10.0.0.1:" + fmt.Sprint(80+len(id)), Zone: "a", Slots: 8, EventTime: 100 * time.Millisecond,
 		Sizes: map[string]float64{"m": 70000}, WeightsMb: 220000, AdapterSlots: 8, ChecksFence: true,
-	}, r.book, write, models...)
-	r.net.Serve("10.0.0.1:"+fmt.Sprint(80+len(id)), s)
+	}, r.executions, write, models...)
+	r.network.Serve("10.0.0.1:"+fmt.Sprint(80+len(id)), s)
 	write()
 	return s
 }
 
-func (r *rig) ready(name string) bool {
+// ready reports whether a front answers its readiness check with 200.
+func (r *harness) ready(name string) bool {
 	res, err := r.client.Get("http://" + name + ":2" + platform.ReadyPath)
 	if err != nil {
 		return false
@@ -129,7 +132,7 @@
 }
 
 // send sends a request and returns the answer's status and body.
-func (r *rig) send(front, path, id string) (int, string, error) {
+func (r *harness) send(front, path, id string) (int, string, error) {
 	req, err := http.NewRequestWithContext(r.ctx, http.MethodPost, "http://"+front+":1"+path, strings.NewReader("x"))
 	r.g.Expect(err).NotTo(HaveOccurred())
 	req.Host = "h.example"
@@ -148,8 +151,8 @@
 	return res.StatusCode, string(data), err
 }
 
-func TestReadyOnlyWithAConfiguration(t *testing.T) {
-	play(t, func(r *rig) {
+func TestReadyOnlyWithConfiguration(t *testing.T) {
+	withHarness(t, func(r *harness) {
 		_, end := r.start("front")
 		defer end()
 		time.Sleep(3 * time.Second)
@@ -160,10 +163,10 @@
 	})
 }
 
-func TestChangesAndLeavingServersAreFollowed(t *testing.T) {
-	play(t, func(r *rig) {
+func TestConfigurationChangesAndLeavingServersTakeEffect(t *testing.T) {
+	withHarness(t, func(r *harness) {
 		r.configure(1, "old")
-		first := r.server("i-1", "desk")
+		leaving := r.startServer("i-1", "desk")
 		_, end := r.start("front")
 		defer end()
 		time.Sleep(2 * time.Second)
@@ -172,30 +175,31 @@
 		r.g.Expect(status).To(Equal(200), body)
 
 		r.configure(2, "new")
-		second := r.server("i-22", "desk")
-		first.Leave()
+		replacement := r.startServer("i-22", "desk")
+		leaving.Leave()
 		time.Sleep(2 * time.Second)
 		for i := range 8 {
 			id := fmt.Sprintf("new-%d", i)
 			status, _, err := r.send("front", "/new/x", id)
 			r.g.Expect(err).NotTo(HaveOccurred())
 			r.g.Expect(status).To(Equal(200))
-			r.g.Expect(r.book.Runs(id)[0].Server).To(Equal("i-22"))
+			r.g.Expect(r.executions.Runs(id)[0].Server).To(Equal("i-22"))
 		}
-		r.g.Expect(second).NotTo(BeNil())
+		r.g.Expect(replacement).NotTo(BeNil())
 		status, _, err = r.send("front", "/old/x", "id-2")
 		r.g.Expect(err).NotTo(HaveOccurred())
 		r.g.Expect(status).To(Equal(404))
 	})
 }
 
-// TestStopCutsNothing stops a front while it streams: the stream ends whole,
-// the front is not ready meanwhile, and all of it ends within the grace.
-func TestStopCutsNothing(t *testing.T) {
+// TestDrainCompletesRequestsInFlight drains a front during a stream, also while the
+// store does not answer: the stream completes, the front is not ready meanwhile, and
+// draining ends within the grace period.
+func TestDrainCompletesRequestsInFlight(t *testing.T) {
 	for _, storeSilent := range []bool{false, true} {
-		play(t, func(r *rig) {
+		withHarness(t, func(r *harness) {
 			r.configure(1, "old")
-			r.server("i-1", "llm", "m")
+			r.startServer("i-1", "llm", "m")
 			f, end := r.start("front")
 			time.Sleep(2 * time.Second)
 			var group conc.WaitGroup
@@ -203,7 +207,7 @@
 				status, body, err := r.send("front", "/stream/x", "id-1")
 				r.g.Expect(err).NotTo(HaveOccurred())
 				r.g.Expect(status).To(Equal(200))
-				r.g.Expect(strings.Count(body, "\n\n")).To(Equal(40), "the stream of four seconds is whole")
+				r.g.Expect(strings.Count(body, "\n\n")).To(Equal(40), "the stream of four seconds is complete")
 			})
 			time.Sleep(time.Second)
 			r.store.Silence(storeSilent)
@@ -221,12 +225,12 @@
 	}
 }
 
-// TestStopRefusesWhatStillWaits stops a front while a request waits for a model
-// that will not be loaded before the front ends: it is refused, not cut.
-func TestStopRefusesWhatStillWaits(t *testing.T) {
-	play(t, func(r *rig) {
+// TestDrainRefusesRequestsWaitingForAModel drains a front while a request waits for a
+// model that will not be loaded before the front exits: the request is refused, not cut off.
+func TestDrainRefusesRequestsWaitingForAModel(t *testing.T) {
+	withHarness(t, func(r *harness) {
 		r.configure(1, "old")
-		s := r.server("i-1", "llm")
+		s := r.startServer("i-1", "llm")
 		s.SetFaults(mimic.Faults{LateOrders: 100, LateBy: time.Hour})
 		f, end := r.start("front")
 		time.Sleep(2 * time.Second)
@@ -240,14 +244,14 @@
 		f.Drain(r.ctx)
 		end()
 		group.Wait()
-		r.g.Expect(r.book.Runs("id-1")).To(BeEmpty())
+		r.g.Expect(r.executions.Runs("id-1")).To(BeEmpty())
 	})
 }
 
-func TestFrontThatStartsWithoutTheStoreAsksOthers(t *testing.T) {
-	play(t, func(r *rig) {
+func TestFrontStartsFromOtherFrontsWithoutTheStore(t *testing.T) {
+	withHarness(t, func(r *harness) {
 		r.configure(1, "old")
-		r.server("i-1", "desk")
+		r.startServer("i-1", "desk")
 		_, endFirst := r.start("front-1")
 		defer endFirst()
 		time.Sleep(2 * time.Second)
--- a/internal/node/front/ready.go
+++ b/internal/node/front/ready.go
@@ -10,19 +10,19 @@
 	"foxtailcroft/internal/base/pause"
 )
 
-// lifecycle is where a front is between start and end.
+// lifecycle is the state of a front between start and exit.
 type lifecycle struct {
 	draining atomic.Bool
 }
 
-// ready reports whether the front takes new connections: it knows a configuration and is not leaving.
+// ready reports whether the front accepts new connections: it has a configuration and is not draining.
 func (f *Front) ready() bool {
-	return !f.state.draining.Load() && f.follower.State().Document != nil
+	return !f.lifecycle.draining.Load() && f.follower.State().Document != nil
 }
 
 func (f *Front) readyHandler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc(f.opts.ReadyPath, func(w http.ResponseWriter, _ *http.Request) {
+	mux.HandleFunc(f.options.ReadyPath, func(w http.ResponseWriter, _ *http.Request) {
 		if !f.ready() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
@@ -32,33 +32,36 @@
 
 func (f *Front) metricsHandler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("/metrics", func(w http.ResponseWriter, _ *http.Request) { f.opts.Meters.WritePrometheus(w) })
+	mux.HandleFunc("/metrics", func(w http.ResponseWriter, _ *http.Request) { f.options.Meters.WritePrometheus(w) })
 	return mux
 }
 
 const (
-	// noticeTime is how long the front still takes connections after it stopped being ready: the balancer asks once a second and acts on two misses.
-	noticeTime = 2500 * time.Millisecond
-	// endShare is the part of the grace that is kept for the process' own end.
-	endShare = 8
+	// unreadyNoticeTime is how long the front still accepts connections after it stopped
+	// being ready: the load balancer checks once a second and acts on two failures.
+	unreadyNoticeTime = 2500 * time.Millisecond
+	// exitGraceDivisor is the divisor of the grace period that gives the part reserved for the exit of the process.
+	exitGraceDivisor = 8
 )
 
-// Drain stops being ready, lets the balancer notice, and waits for the requests in flight.
+// Drain makes the front unready, gives up its registration, and waits until the load
+// balancer has noticed and the requests in flight have ended, at most for the grace period.
 func (f *Front) Drain(ctx context.Context) {
-	end := time.Now().Add(f.set.Bounds.Grace - f.set.Bounds.Grace/endShare)
-	f.state.draining.Store(true)
-	f.relay.SetStopTime(end)
-	ctx, cancel := context.WithDeadline(ctx, end)
+	deadline := time.Now().Add(f.settings.Bounds.Grace - f.settings.Bounds.Grace/exitGraceDivisor)
+	f.lifecycle.draining.Store(true)
+	f.relay.SetStopTime(deadline)
+	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
-	f.lead.Leave(ctx)
-	f.callers.closeAfterAnswers()
-	pause.For(ctx, min(noticeTime, time.Until(end)/2))
-	if err := f.callers.finish(ctx); err != nil {
+	f.election.Leave(ctx)
+	f.callerServer.closeAfterAnswers()
+	pause.For(ctx, min(unreadyNoticeTime, time.Until(deadline)/2))
+	if err := f.callerServer.drain(ctx); err != nil {
 		f.log.Warnw("requests were cut off", "Error", err.Error())
 	}
 }
 
-func closedIsFine(err error) error {
+// ignoreServerClosed returns nil for the error of a server that was closed, and other errors unchanged.
+func ignoreServerClosed(err error) error {
 	if errors.Is(err, http.ErrServerClosed) {
 		return nil
 	}
