--- a/internal/front/relay/call.go
+++ b/internal/front/relay/call.go
@@ -111,8 +111,8 @@
 // sendTo sends the request to one instance and relays the answer.
 func (c *call) sendTo(ctx context.Context, in site.Instance) nextStep {
 	t := c.server.tracker
-	plain := c.route.Kind != site.Streaming
-	answered, ended := t.beginRequest(in.Key, &c.request, plain)
+	buffered := c.route.Kind != site.Streaming
+	answered, ended := t.beginRequest(in.Key, &c.request, buffered)
 	defer ended()
 	c.instanceID = in.ID
 	header := endToEndHeaders(c.r.Header, c.server.dialect.ForAll)
--- a/internal/front/relay/history_test.go
+++ b/internal/front/relay/history_test.go
@@ -25,14 +25,14 @@
 type orderService struct {
 	mu     sync.Mutex
 	orders int
-	rnd    *rand.Rand
+	random *rand.Rand
 }
 
 // happens returns true with a probability.
 func (l *orderService) happens(chance float64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.rnd.Float64() < chance
+	return l.random.Float64() < chance
 }
 
 // ServeHTTP counts an order or reads the count, with random faults before, during
@@ -151,10 +151,10 @@
 // twice, or run although they were refused.
 func TestOrderCountIsLinearizable(t *testing.T) {
 	const callers, callsPerCaller, histories = 4, 12, 8
-	first := draws.Seed()
-	for seed := first; seed < first+histories; seed++ {
+	firstSeed := draws.Seed()
+	for seed := firstSeed; seed < firstSeed+histories; seed++ {
 		withRelay(t, 3, func(r *harness) {
-			orders := &orderService{rnd: rand.New(rand.NewPCG(seed, 1))}
+			orders := &orderService{random: rand.New(rand.NewPCG(seed, 1))}
 			for i := range 3 {
 				address := fmt.Sprintf("10.0.1.%d:80", i)
 				r.network.Serve(address, orders)
@@ -171,24 +171,24 @@
 			var mu sync.Mutex
 			var history []porcupine.Operation
 			outcomes := map[callOutcome]int{}
-			record := func(op porcupine.Operation, out callResult) {
+			record := func(op porcupine.Operation, result callResult) {
 				mu.Lock()
 				defer mu.Unlock()
-				op.Output, op.Return = out, clock.Add(1)
-				if out.outcome == unknownOutcome {
+				op.Output, op.Return = result, clock.Add(1)
+				if result.outcome == unknownOutcome {
 					op.Return = math.MaxInt64
 				}
-				outcomes[out.outcome]++
+				outcomes[result.outcome]++
 				history = append(history, op)
 			}
 			var group conc.WaitGroup
 			for caller := range callers {
 				group.Go(func() {
-					rnd := rand.New(rand.NewPCG(seed, uint64(caller)+2))
+					random := rand.New(rand.NewPCG(seed, uint64(caller)+2))
 					for i := range callsPerCaller {
-						id := fmt.Sprintf("%c%d-%d", 'a'+rune(rnd.IntN(20)), caller, i)
+						id := fmt.Sprintf("%c%d-%d", 'a'+rune(random.IntN(20)), caller, i)
 						op := porcupine.Operation{ClientId: caller, Input: "order", Call: clock.Add(1)}
-						if rnd.IntN(3) == 0 {
+						if random.IntN(3) == 0 {
 							op.Input = "read"
 							if out := r.sendAndClassify("/safe/x", id); out.outcome == answeredOutcome {
 								record(op, out)
@@ -200,7 +200,7 @@
 							out = r.sendAndClassify("/unsafe/x", fmt.Sprintf("%s-%d", id, try))
 						}
 						record(op, out)
-						time.Sleep(time.Duration(rnd.IntN(100)) * time.Millisecond)
+						time.Sleep(time.Duration(random.IntN(100)) * time.Millisecond)
 					}
 				})
 			}
--- a/internal/front/relay/relay_test.go
+++ b/internal/front/relay/relay_test.go
@@ -299,7 +299,7 @@
 	})
 }
 
-func TestRouteTimeoutAnswersInTime(t *testing.T) {
+func TestRouteTimeoutIsEnforced(t *testing.T) {
 	withRelay(t, 1, func(r *harness) {
 		r.state.Document.Routes[1].Timeout = time.Second
 		r.setFaults(mimic.Faults{Hang: true})
--- a/internal/front/relay/server.go
+++ b/internal/front/relay/server.go
@@ -67,11 +67,11 @@
 	// stopTime is when the process ends; nil unless it is stopping.
 	stopTime atomic.Pointer[time.Time]
 	mu       sync.Mutex
-	// retryBudgets are by service.
+	// retryBudgets are this front's shares of the retry budgets, by service.
 	retryBudgets map[string]retry.Share
 }
 
-// New returns a server with empty statistics and retry budgets.
+// New returns a server without statistics of instances and with full retry budgets.
 func New(settings conf.Front, stateSource StateSource, pool *conns.Pool, dialect Dialect, finder InstanceFinder, meters *metrics.Set, log *zap.SugaredLogger) *Server {
 	return &Server{
 		settings: settings, stateSource: stateSource, pool: pool, dialect: dialect, finder: finder, tracker: newInstanceTracker(),
@@ -85,8 +85,8 @@
 	s.stopTime.Store(&t)
 }
 
-// TakeUsage returns the usage of models since the last call; with allRecent, for a
-// new planner, its request counts are those that past requests still weigh.
+// TakeUsage returns the usage of models since the last call; with allRecent, meant for
+// a new planner, the request counts are the decayed weights of all past requests.
 func (s *Server) TakeUsage(allRecent bool) peers.Uses {
 	state := s.stateSource.State()
 	return s.tracker.takeUsage(s.settings.Node.Name, allRecent, func(k site.Key) bool {
--- a/internal/front/relay/tracker.go
+++ b/internal/front/relay/tracker.go
@@ -52,7 +52,7 @@
 	// failureShare is the moving average of failures at failureShareAt.
 	failureShare   float64
 	failureShareAt time.Time
-	// meanAnswerTime is the moving average of the time to an answer that is not streamed.
+	// meanAnswerTime is the moving average of the time until a buffered answer begins.
 	meanAnswerTime time.Duration
 	// longestPause is the decaying longest pause between events of streams, other fronts' streams included.
 	longestPause fade.Peak
@@ -89,8 +89,8 @@
 }
 
 // beginRequest records a request that is sent, and returns the functions that record
-// the beginning of its answer and its end; plain requests count in meanAnswerTime.
-func (t *instanceTracker) beginRequest(k site.Key, r *site.Request, plain bool) (answered func(), ended func()) {
+// the beginning of its answer and its end; buffered answers, those that are not streamed, count in meanAnswerTime.
+func (t *instanceTracker) beginRequest(k site.Key, r *site.Request, buffered bool) (answered func(), ended func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.statsOf(k)
@@ -110,7 +110,7 @@
 		if isOnlyPrompt && r.Target.Model != "" {
 			t.prefillSpeeds[r.Target.Model] = t.prefillSpeeds[r.Target.Model].With(uncached, time.Since(began))
 		}
-		if plain {
+		if buffered {
 			s.meanAnswerTime += (time.Since(began) - s.meanAnswerTime) / 4
 		}
 	})
