--- a/internal/front/relay/history_test.go
+++ b/internal/front/relay/history_test.go
@@ -157,7 +157,7 @@
 			orders := &orderService{random: rand.New(rand.NewPCG(seed, 1))}
 			for i := range 3 {
 				address := fmt.Sprintf("10.0.1.%d:80", i)
-				r.network.Serve(address, orders)
+				r.net.Serve(address, orders)
 				id := fmt.Sprintf("ledger-%d", i)
 				r.state.Instances[id] = site.Instance{Key: site.Key{ID: id}, Service: "ledger", Address: address, Domain: "a", Slots: 4}
 			}
--- a/internal/front/relay/raw_test.go
+++ b/internal/front/relay/raw_test.go
@@ -70,8 +70,8 @@
 			sent = append(sent, drawRawRequest(rt, n))
 		}
 		withRelay(t, 2, func(r *harness) {
-			r.network.Serve("front:1", r.relay)
-			conn, err := r.network.Dial(r.t.Context(), "front:1")
+			r.net.Serve("front:1", r.relay)
+			conn, err := r.net.Dial(r.t.Context(), "front:1")
 			r.g.Expect(err).NotTo(HaveOccurred())
 			defer conn.Close()
 			r.sendRaw(conn, sent)
@@ -118,8 +118,8 @@
 // TestIncompleteBodyIsAnsweredInTime sends half a body and expects a refusal at the deadline.
 func TestIncompleteBodyIsAnsweredInTime(t *testing.T) {
 	withRelay(t, 1, func(r *harness) {
-		r.network.Serve("front:1", r.relay)
-		conn, err := r.network.Dial(r.t.Context(), "front:1")
+		r.net.Serve("front:1", r.relay)
+		conn, err := r.net.Dial(r.t.Context(), "front:1")
 		r.g.Expect(err).NotTo(HaveOccurred())
 		defer conn.Close()
 		began := time.Now()
--- a/internal/front/relay/relay_test.go
+++ b/internal/front/relay/relay_test.go
@@ -29,7 +29,7 @@
 type harness struct {
 	t            *testing.T
 	g            *WithT
-	network      *pipes.Network
+	net          *pipes.Network
 	stopServer   map[string]func()
 	executions   *mimic.Book
 	relay        *Server
@@ -51,7 +51,7 @@
 // hold model m; routes begin with /safe/, /unsafe/, /resume/ and /stream/.
 func withRelay(t *testing.T, n int, test func(*harness)) {
 	synctest.Test(t, func(t *testing.T) {
-		r := &harness{t: t, g: NewWithT(t), network: pipes.New(), stopServer: map[string]func(){}, executions: &mimic.Book{}, log: &bytes.Buffer{}}
+		r := &harness{t: t, g: NewWithT(t), net: pipes.New(), stopServer: map[string]func(){}, executions: &mimic.Book{}, log: &bytes.Buffer{}}
 		route := func(prefix string, kind site.Kind, attempts int, resumable bool, service string) site.Route {
 			return site.Route{
 				Name: prefix, Host: "h.example", Prefix: prefix, Kind: kind, Attempts: attempts, Resumable: resumable,
@@ -74,13 +74,13 @@
 				r.addServer(service, i)
 			}
 		}
-		pool, closePool := conns.New(r.network.Dial, metrics.NewSet())
+		pool, closePool := conns.New(r.net.Dial, metrics.NewSet())
 		log, err := logs.New(r.log, "info", "f")
 		r.g.Expect(err).NotTo(HaveOccurred())
 		settings := conf.Front{Node: conf.Node{Name: "f"}, Retry: conf.RetryBudget{Ratio: 0.2, Slack: 58}}
 		r.relay = New(settings, r, pool, platform.Dialect{}, r, metrics.NewSet(), log.Sugar())
 		defer r.group.Wait()
-		defer r.network.Close()
+		defer r.net.Close()
 		defer closePool()
 		test(r)
 	})
@@ -93,7 +93,7 @@
 	s := mimic.NewServer(mimic.Spec{
 		ID: id, Service: service, Address: address, Zone: "a", Slots: 4, EventTime: 20 * time.Millisecond,
 	}, r.executions, func() {}, "m")
-	r.stopServer[address] = r.network.Serve(address, s)
+	r.stopServer[address] = r.net.Serve(address, s)
 	r.servers = append(r.servers, s)
 	in := site.Instance{Key: site.Key{ID: id}, Service: service, Address: address, Domain: "a", Slots: 4}
 	if service == "llm" {
--- a/internal/node/front/front_test.go
+++ b/internal/node/front/front_test.go
@@ -30,7 +30,7 @@
 type harness struct {
 	g          *WithT
 	ctx        context.Context
-	network    *pipes.Network
+	net        *pipes.Network
 	memory     *platf.Memory
 	store      *mimic.Store
 	executions *mimic.Book
@@ -42,14 +42,14 @@
 // withHarness runs a test with a new harness.
 func withHarness(t *testing.T, test func(*harness)) {
 	synctest.Test(t, func(t *testing.T) {
-		r := &harness{g: NewWithT(t), ctx: t.Context(), network: pipes.New(), memory: platf.NewMemory(1), executions: &mimic.Book{}}
+		r := &harness{g: NewWithT(t), ctx: t.Context(), net: pipes.New(), memory: platf.NewMemory(1), executions: &mimic.Book{}}
 		r.store = mimic.NewStore(r.memory)
-		r.network.Serve("store:1", r.store)
+		r.net.Serve("store:1", r.store)
 		transport := &http.Transport{DialContext: r.dial}
 		r.client = &http.Client{Transport: transport}
 		defer func() {
 			transport.CloseIdleConnections()
-			r.network.Close()
+			r.net.Close()
 			time.Sleep(time.Minute)
 		}()
 		test(r)
@@ -57,7 +57,7 @@
 }
 
 func (r *harness) dial(ctx context.Context, _, address string) (net.Conn, error) {
-	return r.network.Dial(ctx, address)
+	return r.net.Dial(ctx, address)
 }
 
 // start starts a front with seeds, and returns it with the function that stops it.
@@ -83,10 +83,10 @@
 			DocumentKey: platform.ConfigKey, InstancePrefix: platform.ServerPrefix,
 			Prefixes: []string{platform.OperatorPrefix, platform.ServerPrefix, follow.OwnPrefix},
 		},
-		Dial: r.network.Dial, DialPeers: r.network.Dial, ReadyPath: platform.ReadyPath, Meters: meters, Log: zap.NewNop(),
+		Dial: r.net.Dial, DialPeers: r.net.Dial, ReadyPath: platform.ReadyPath, Meters: meters, Log: zap.NewNop(),
 	})
 	parts, closeTree := tree.New(r.ctx, zap.NewNop())
-	f.Start(parts, Listeners{Callers: r.network.Listen(set.Listen.Callers), Ready: r.network.Listen(set.Listen.Ready), Peers: r.network.Listen(set.Listen.Peers)})
+	f.Start(parts, Listeners{Callers: r.net.Listen(set.Listen.Callers), Ready: r.net.Listen(set.Listen.Ready), Peers: r.net.Listen(set.Listen.Peers)})
 	return f, func() {
 		closeFront()
 		closeTree()
@@ -116,7 +116,7 @@
 		ID: id, Born: 1, Service: service, Address: "10.0.0.1:" + fmt.Sprint(80+len(id)), Zone: "a", Slots: 8, EventTime: 100 * time.Millisecond,
 		Sizes: map[string]float64{"m": 70000}, WeightsMb: 220000, AdapterSlots: 8, ChecksFence: true,
 	}, r.executions, write, models...)
-	r.network.Serve("10.0.0.1:"+fmt.Sprint(80+len(id)), s)
+	r.net.Serve("10.0.0.1:"+fmt.Sprint(80+len(id)), s)
 	write()
 	return s
 }
