--- a/internal/front/relay/history_test.go
+++ b/internal/front/relay/history_test.go
@@ -154,10 +154,10 @@
 	firstSeed := draws.Seed()
 	for seed := firstSeed; seed < firstSeed+histories; seed++ {
 		withRelay(t, 3, func(r *harness) {
-			orders := &orderService{random: rand.New(rand.NewPCG(seed, 1))}
+			service := &orderService{random: rand.New(rand.NewPCG(seed, 1))}
 			for i := range 3 {
 				address := fmt.Sprintf("10.0.1.%d:80", i)
-				r.net.Serve(address, orders)
+				r.net.Serve(address, service)
 				id := fmt.Sprintf("ledger-%d", i)
 				r.state.Instances[id] = site.Instance{Key: site.Key{ID: id}, Service: "ledger", Address: address, Domain: "a", Slots: 4}
 			}
@@ -206,9 +206,9 @@
 			}
 			group.Wait()
 			time.Sleep(10 * time.Second)
-			orders.mu.Lock()
-			total := orders.orders
-			orders.mu.Unlock()
+			service.mu.Lock()
+			total := service.orders
+			service.mu.Unlock()
 			record(porcupine.Operation{ClientId: callers, Input: "read", Call: clock.Add(1)}, callResult{answeredOutcome, total})
 			t.Logf("seed %d: %v, %d orders in the end", seed, outcomes, total)
 			r.g.Expect(porcupine.CheckOperations(orderCountModel, history)).To(BeTrue(), "seed %d", seed)
--- a/internal/front/relay/server.go
+++ b/internal/front/relay/server.go
@@ -72,9 +72,9 @@
 }
 
 // New returns a server without statistics of instances and with full retry budgets.
-func New(settings conf.Front, stateSource StateSource, pool *conns.Pool, dialect Dialect, finder InstanceFinder, meters *metrics.Set, log *zap.SugaredLogger) *Server {
+func New(settings conf.Front, stateSource StateSource, pool *conns.Pool, d Dialect, finder InstanceFinder, meters *metrics.Set, log *zap.SugaredLogger) *Server {
 	return &Server{
-		settings: settings, stateSource: stateSource, pool: pool, dialect: dialect, finder: finder, tracker: newInstanceTracker(),
+		settings: settings, stateSource: stateSource, pool: pool, dialect: d, finder: finder, tracker: newInstanceTracker(),
 		log: log, meters: meters, retryBudgets: map[string]retry.Share{},
 	}
 }
--- a/internal/node/front/callers.go
+++ b/internal/node/front/callers.go
@@ -64,8 +64,8 @@
 // connKey is the context key of a request's connection.
 type connKey struct{}
 
-func newCallerServer(handler http.Handler, follower *follow.Follower) *callerServer {
-	c := &callerServer{handler: handler, follower: follower, idleSince: map[net.Conn]time.Time{}, drained: make(chan struct{})}
+func newCallerServer(h http.Handler, follower *follow.Follower) *callerServer {
+	c := &callerServer{handler: h, follower: follower, idleSince: map[net.Conn]time.Time{}, drained: make(chan struct{})}
 	c.server = &http.Server{
 		Handler: c, ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: maxHeaderBytes, ConnState: c.connStateChanged,
 		ConnContext: func(ctx context.Context, conn net.Conn) context.Context {
--- a/internal/node/front/front.go
+++ b/internal/node/front/front.go
@@ -62,19 +62,19 @@
 
 // Front is a front process.
 type Front struct {
-	settings     conf.Front
-	follower     *follow.Follower
-	election     *orders.Lead
-	planner      *orders.Planner
-	peers        *peers.Peers
-	relay        *relay.Server
-	pool         *conns.Pool
-	mux          *peer.Mux
-	hello        func() peer.Hello
-	callerServer *callerServer
-	options      Options
-	log          *zap.SugaredLogger
-	lifecycle    lifecycle
+	settings       conf.Front
+	follower       *follow.Follower
+	election       *orders.Lead
+	planner        *orders.Planner
+	peers          *peers.Peers
+	relay          *relay.Server
+	pool           *conns.Pool
+	mux            *peer.Mux
+	hello          func() peer.Hello
+	callerServer   *callerServer
+	options        Options
+	log            *zap.SugaredLogger
+	lifecycleState lifecycle
 }
 
 // New returns a front that does not serve yet, and a function that closes its connections and its planner.
--- a/internal/node/front/ready.go
+++ b/internal/node/front/ready.go
@@ -17,7 +17,7 @@
 
 // ready reports whether the front accepts new connections: it has a configuration and is not draining.
 func (f *Front) ready() bool {
-	return !f.lifecycle.draining.Load() && f.follower.State().Document != nil
+	return !f.lifecycleState.draining.Load() && f.follower.State().Document != nil
 }
 
 func (f *Front) readyHandler() http.Handler {
@@ -48,7 +48,7 @@
 // balancer has noticed and the requests in flight have ended, at most for the grace period.
 func (f *Front) Drain(ctx context.Context) {
 	deadline := time.Now().Add(f.settings.Bounds.Grace - f.settings.Bounds.Grace/exitGraceDivisor)
-	f.lifecycle.draining.Store(true)
+	f.lifecycleState.draining.Store(true)
 	f.relay.SetStopTime(deadline)
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
