--- a/internal/front/relay/answer.go
+++ b/internal/front/relay/answer.go
@@ -24,9 +24,9 @@
 func endToEndHeaders(h http.Header, isEndToEnd func(name string) bool) http.Header {
 	out := h.Clone()
 	for _, value := range h.Values("Connection") {
-		for _, name := range splitList(value) {
-			if !isEndToEnd(name) {
-				out.Del(name)
+		for _, token := range splitList(value) {
+			if !isEndToEnd(token) {
+				out.Del(token)
 			}
 		}
 	}
