--- a/internal/lab/emul/doc.go
+++ b/internal/lab/emul/doc.go
@@ -1,5 +1,5 @@
-// Package emul emulates model servers that batch requests, read prompts in
-// pieces between the tokens of others, keep prompts' parts and load models, and
-// plays days of requests against them by the system's own decisions, to measure
-// what each piece of knowledge behind those decisions is worth.
+// Package emul is a discrete-event simulation of model servers with continuous
+// batching, chunked prefill, a prefix cache and model loading. It routes
+// generated requests with the production policies and measures how much each
+// input of those policies improves the share of requests served in time.
 package emul
--- a/internal/lab/emul/play.go
+++ b/internal/lab/emul/play.go
@@ -14,145 +14,153 @@
 	"foxtailcroft/internal/policy/swap"
 )
 
-// Knows says which knowledge the decisions have.
-type Knows struct {
+// Knowledge selects the inputs that routing and placement may use.
+type Knowledge struct {
 	Name string
-	// Parts is which parts of prompts servers have read.
+	// Parts enables prefix awareness: which prompt parts each server has cached.
 	Parts bool
-	// Work is how long the prompts of a model take to read.
+	// Work enables the mean prefill time of each model's requests.
 	Work bool
-	// Pauses is how long streams have paused at a server.
+	// Pauses enables the longest recent stream pause of each server.
 	Pauses bool
-	// Chance replaces the choice of a server by a random one.
+	// Chance routes each request to a random server that has the model.
 	Chance bool
 }
 
-// Options are a day's measures.
+// Options configure one simulated day.
 type Options struct {
 	Servers int
 	Models  int
-	// PerServer is how many models fit a server.
-	PerServer int
-	Length    time.Duration
-	// Load is the multiple of the sites' rates.
-	Load float64
-	Seed uint64
+	// ModelsPerServer is how many models fit in a server's memory.
+	ModelsPerServer int
+	Duration        time.Duration
+	// LoadFactor multiplies the request rates of the site.
+	LoadFactor float64
+	Seed       uint64
 }
 
-// Spares returns the size of the spares desk, where nearly all models fit at once.
+// Spares returns the options of the spares desk, whose servers can hold nearly
+// all of its models at once.
 func Spares(load float64, seed uint64) Options {
-	return Options{Servers: 12, Models: 39, PerServer: 3, Length: dayLength, Load: load, Seed: seed}
+	return Options{Servers: 12, Models: 39, ModelsPerServer: 3, Duration: dayLength, LoadFactor: load, Seed: seed}
 }
 
-// Blankets returns the size of the matching service, where copies of busy models push others out.
+// Blankets returns the options of the blanket-matching service, where replicas
+// of busy models evict other models.
 func Blankets(load float64, seed uint64) Options {
-	return Options{Servers: 9, Models: 19, PerServer: 2, Length: dayLength, Load: blanketsLoad * load, Seed: seed}
+	return Options{Servers: 9, Models: 19, ModelsPerServer: 2, Duration: dayLength, LoadFactor: blanketsRateRatio * load, Seed: seed}
 }
 
-// blanketsLoad is the matching service's rate of requests against the spares desk's.
-const blanketsLoad = 0.78
+// blanketsRateRatio is the request rate of the blanket-matching service divided
+// by that of the spares desk.
+const blanketsRateRatio = 0.78
 
 const (
-	planEvery = 100 * time.Millisecond
-	// paceSmall is the time of the first model, the smallest of the busy ones, against the others.
-	paceSmall = 0.35
-	// disks is how many models lie on a server's disk beside those that it holds.
-	disks = 6
-	// modelSize is the size of each model, and adapterRoom what is left beside those that fit, in MB.
-	modelSize   = 72700
-	adapterRoom = 2000
-	// storeLoads is how many loads run at full speed side by side.
-	storeLoads = 2
+	planInterval = 100 * time.Millisecond
+	// smallModelTimeFactor scales prefill and step times of the first model,
+	// the smallest of the busy ones.
+	smallModelTimeFactor = 0.35
+	// extraDiskModels is how many models are drawn at random to be on a server's
+	// disk besides the loaded ones; a draw may repeat a model.
+	extraDiskModels = 6
+	// modelMB is the size of each model, and adapterMB the memory of a server
+	// that the models leave free for adapters.
+	modelMB   = 72700
+	adapterMB = 2000
+	// maxStoreLoads is how many concurrent loads from the weight store run at full speed.
+	maxStoreLoads = 2
 )
 
-// play is a day being played.
-type play struct {
-	o       Options
-	knows   Knows
-	spec    Spec
-	engine  *site.Engine
-	servers []*server
-	queue   events
-	now     time.Duration
-	rnd     *rand.Rand
-	waiting []*request
-	demand  map[string]fade.Count
-	sent    map[string]fade.Count
-	work    map[string]fade.Count
-	speeds  map[string]speed.Reading
-	pauses  map[string]fade.Peak
-	loads   int
-	// set counts the events that were set.
-	set int
+// simulation is the state of a simulated day.
+type simulation struct {
+	options        Options
+	knowledge      Knowledge
+	spec           ServerSpec
+	engine         *site.Engine
+	servers        []*server
+	queue          eventQueue
+	now            time.Duration
+	rnd            *rand.Rand
+	waiting        []*request
+	demand         map[string]fade.Count
+	sentRequests   map[string]fade.Count
+	prefillSeconds map[string]fade.Count
+	prefillSpeeds  map[string]speed.Reading
+	pausePeaks     map[string]fade.Peak
+	loadsFromStore int
+	// scheduled counts the events scheduled so far.
+	scheduled int
 }
 
-// Play plays a day and returns what its requests got.
-func Play(o Options, k Knows) Result {
-	p := &play{
-		o: o, knows: k, spec: Usual(), rnd: rand.New(rand.NewPCG(o.Seed, 2)), demand: map[string]fade.Count{}, sent: map[string]fade.Count{},
-		work: map[string]fade.Count{}, speeds: map[string]speed.Reading{}, pauses: map[string]fade.Peak{},
-		engine: &site.Engine{Slots: 64, WeightsMB: float64(o.PerServer*modelSize + adapterRoom), LoadsPerSecond: 2.1},
+// Simulate runs one day and returns the outcomes of its requests.
+func Simulate(o Options, k Knowledge) Result {
+	p := &simulation{
+		options: o, knowledge: k, spec: DefaultSpec(), rnd: rand.New(rand.NewPCG(o.Seed, 2)), demand: map[string]fade.Count{}, sentRequests: map[string]fade.Count{},
+		prefillSeconds: map[string]fade.Count{}, prefillSpeeds: map[string]speed.Reading{}, pausePeaks: map[string]fade.Peak{},
+		engine: &site.Engine{Slots: 64, WeightsMB: float64(o.ModelsPerServer*modelMB + adapterMB), LoadsPerSecond: 2.1},
 	}
 	for i := range o.Models {
 		p.engine.Models = append(p.engine.Models, site.Model{
-			Name: name(i), SizeMB: modelSize, FromStore: 6 * time.Second, FromDisk: 840 * time.Millisecond, FromMemory: 400 * time.Millisecond,
+			Name: modelName(i), SizeMB: modelMB, FromStore: 6 * time.Second, FromDisk: 840 * time.Millisecond, FromMemory: 400 * time.Millisecond,
 		})
 	}
-	p.furnish()
-	requests := generate(o.Length, o.Load, o.Models, o.Seed)
+	p.placeModels()
+	requests := generateRequests(o.Duration, o.LoadFactor, o.Models, o.Seed)
 	for _, q := range requests {
-		p.at(q.at, func() { p.arrive(q) })
+		p.schedule(q.arrivedAt, func() { p.arrive(q) })
 	}
-	for t := time.Duration(0); t < o.Length; t += planEvery {
-		p.at(t, p.plan)
+	for t := time.Duration(0); t < o.Duration; t += planInterval {
+		p.schedule(t, p.planLoads)
 	}
 	for len(p.queue) > 0 {
 		e := heap.Pop(&p.queue).(*event)
 		p.now = e.at
-		e.do()
+		e.run()
 	}
-	return resultOf(requests, p.loads)
+	return summarize(requests, p.loadsFromStore)
 }
 
-// furnish places the models: the busy ones on several servers, the others on one each as far as there is room.
-func (p *play) furnish() {
+// placeModels loads the busy models on several servers and the others on one
+// server each, as far as there is memory.
+func (p *simulation) placeModels() {
 	next := busyModels
-	for i := range p.o.Servers {
-		s := &server{spec: &p.spec, id: fmt.Sprintf("s%02d", i), speed: p.spec.Speeds[i%len(p.spec.Speeds)], held: map[string]*held{}, parts: map[string]bool{}}
-		s.held[name(i%busyModels)] = &held{since: -time.Minute}
-		for len(s.held) < p.o.PerServer && next < p.o.Models {
-			s.held[name(next)] = &held{since: -time.Minute}
+	for i := range p.options.Servers {
+		s := &server{spec: &p.spec, id: fmt.Sprintf("s%02d", i), timeFactor: p.spec.TimeFactors[i%len(p.spec.TimeFactors)], loaded: map[string]*loadedModel{}, prefixCache: map[string]bool{}}
+		s.loaded[modelName(i%busyModels)] = &loadedModel{loadedAt: -time.Minute}
+		for len(s.loaded) < p.options.ModelsPerServer && next < p.options.Models {
+			s.loaded[modelName(next)] = &loadedModel{loadedAt: -time.Minute}
 			next++
 		}
-		for m := range s.held {
+		for m := range s.loaded {
 			s.onDisk = append(s.onDisk, m)
 		}
 		slices.Sort(s.onDisk)
-		for range disks {
-			s.onDisk = append(s.onDisk, name(p.rnd.IntN(p.o.Models)))
+		for range extraDiskModels {
+			s.onDisk = append(s.onDisk, modelName(p.rnd.IntN(p.options.Models)))
 		}
 		p.servers = append(p.servers, s)
 	}
 }
 
-// clock turns the day's time into one that the policies take.
-func (p *play) clock() time.Time {
+// policyTime returns the simulated time as the time.Time that the policies expect.
+func (p *simulation) policyTime() time.Time {
 	return time.Unix(0, 0).Add(p.now)
 }
 
-func (p *play) arrive(q *request) {
-	p.demand[q.model] = p.demand[q.model].Add(1, p.clock())
+func (p *simulation) arrive(q *request) {
+	p.demand[q.model] = p.demand[q.model].Add(1, p.policyTime())
 	if !p.send(q) {
 		p.waiting = append(p.waiting, q)
 	}
 }
 
-// send sends a request to the best server that has its model; false if none has.
-func (p *play) send(q *request) bool {
+// send routes a request to the best server that has its model loaded; it
+// returns false if there is none.
+func (p *simulation) send(q *request) bool {
 	var list []*server
 	var candidates []choose.Candidate
 	for _, s := range p.servers {
-		if s.held[q.model] == nil || slices.Contains(s.evicting, q.model) {
+		if s.loaded[q.model] == nil || slices.Contains(s.evicting, q.model) {
 			continue
 		}
 		list = append(list, s)
@@ -162,78 +170,79 @@
 		return false
 	}
 	i := choose.Best(candidates, p.rnd.Float64)
-	if p.knows.Chance {
+	if p.knowledge.Chance {
 		i = p.rnd.IntN(len(list))
 	}
 	s := list[i]
-	q.server, q.sent, q.missing, q.reading, q.alone = s, p.now, s.missing(q), candidates[i].Missing, candidates[i].Reading == 0
-	p.sent[q.model] = p.sent[q.model].Add(1, p.clock())
-	p.work[q.model] = p.work[q.model].Add(q.reading.Seconds(), p.clock())
-	s.begin(q, p.pace(q.model), p.now)
-	p.start(s)
+	q.server, q.sentAt, q.uncachedTokens, q.expectedPrefill, q.noOtherPrefill = s, p.now, s.uncachedTokens(q), candidates[i].Missing, candidates[i].Reading == 0
+	p.sentRequests[q.model] = p.sentRequests[q.model].Add(1, p.policyTime())
+	p.prefillSeconds[q.model] = p.prefillSeconds[q.model].Add(q.expectedPrefill.Seconds(), p.policyTime())
+	s.admit(q, p.timeFactor(q.model), p.now)
+	p.startStep(s)
 	return true
 }
 
-func (p *play) candidate(s *server, q *request) choose.Candidate {
-	missing := q.prompt
-	if p.knows.Parts {
-		missing = s.missing(q)
+func (p *simulation) candidate(s *server, q *request) choose.Candidate {
+	missing := q.promptTokens
+	if p.knowledge.Parts {
+		missing = s.uncachedTokens(q)
 	}
 	c := choose.Candidate{
-		ID: s.id, Near: true, Connected: true, Slots: p.engine.Slots, InFlight: len(s.runs),
-		Missing: p.speeds[q.model].Time(missing), LongRead: choose.LongRead(q.class.maxGap),
+		ID: s.id, Near: true, Connected: true, Slots: p.engine.Slots, InFlight: len(s.batch),
+		Missing: p.prefillSpeeds[q.model].Time(missing), LongRead: choose.LongRead(q.class.maxGap),
 	}
-	for _, r := range s.runs {
-		if r.missing > 0 {
-			c.Reading += r.req.reading
+	for _, r := range s.batch {
+		if r.prefillLeft > 0 {
+			c.Reading += r.req.expectedPrefill
 		}
 	}
-	if p.knows.Pauses {
-		c.PauseRisk = choose.Risk(p.pauses[s.id].Value(p.clock()), q.class.maxGap)
+	if p.knowledge.Pauses {
+		c.PauseRisk = choose.Risk(p.pausePeaks[s.id].Value(p.policyTime()), q.class.maxGap)
 	}
 	return c
 }
 
-func (p *play) pace(model string) float64 {
-	if model == name(0) {
-		return paceSmall
+func (p *simulation) timeFactor(model string) float64 {
+	if model == modelName(0) {
+		return smallModelTimeFactor
 	}
 	return 1
 }
 
-// start begins the next step of a server, unless one is under way or nothing runs.
-func (p *play) start(s *server) {
-	if s.stepping || len(s.runs) == 0 {
+// startStep starts the next batch step of a server unless one is in progress or
+// the batch is empty.
+func (p *simulation) startStep(s *server) {
+	if s.stepping || len(s.batch) == 0 {
 		return
 	}
 	s.stepping = true
-	p.at(p.now+s.step(), func() {
+	p.schedule(p.now+s.runStep(), func() {
 		s.stepping = false
-		s.tokens(p.now, p.event)
-		p.start(s)
+		s.emitTokens(p.now, p.recordEvent)
+		p.startStep(s)
 	})
 }
 
-// event notes an event of a stream.
-func (p *play) event(r *run, gap time.Duration) {
+// recordEvent updates the measurements of a request for one event of its stream.
+func (p *simulation) recordEvent(r *sequence, gap time.Duration) {
 	q := r.req
-	if r.out == 1 {
-		q.first = p.now
-		if q.alone {
-			p.speeds[q.model] = p.speeds[q.model].With(q.missing, p.now-q.sent)
+	if r.generated == 1 {
+		q.firstEventAt = p.now
+		if q.noOtherPrefill {
+			p.prefillSpeeds[q.model] = p.prefillSpeeds[q.model].With(q.uncachedTokens, p.now-q.sentAt)
 		}
 	}
-	q.longest = max(q.longest, gap)
+	q.longestGap = max(q.longestGap, gap)
 	if gap > q.class.maxGap/2 {
-		p.pauses[q.server.id] = p.pauses[q.server.id].With(min(gap, q.class.maxGap*5/4), p.clock())
+		p.pausePeaks[q.server.id] = p.pausePeaks[q.server.id].With(min(gap, q.class.maxGap*5/4), p.policyTime())
 	}
-	q.ended = r.out >= q.out
+	q.completed = r.generated >= q.outputTokens
 }
 
-// plan places models by the system's own policy.
-func (p *play) plan() {
-	p.serveWaiting()
-	in := swap.Input{Engine: p.engine, Demand: map[string]swap.Demand{}, AtOnce: storeLoads, StoreLoads: storeLoads}
+// planLoads starts the loads and evictions that the production placement policy decides.
+func (p *simulation) planLoads() {
+	p.sendWaiting()
+	in := swap.Input{Engine: p.engine, Demand: map[string]swap.Demand{}, AtOnce: maxStoreLoads, StoreLoads: maxStoreLoads}
 	for _, q := range p.waiting {
 		i := slices.IndexFunc(in.Wants, func(w swap.Want) bool { return w.Model == q.model })
 		if i < 0 {
@@ -243,14 +252,14 @@
 		in.Wants[i].Weight++
 	}
 	for m, c := range p.demand {
-		d := swap.Demand{Rate: c.Rate(p.clock())}
-		if sent := p.sent[m].Weight(p.clock()); p.knows.Work && sent >= 1 {
-			d.Each = time.Duration(p.work[m].Weight(p.clock()) / sent * float64(time.Second))
+		d := swap.Demand{Rate: c.Rate(p.policyTime())}
+		if sent := p.sentRequests[m].Weight(p.policyTime()); p.knowledge.Work && sent >= 1 {
+			d.Each = time.Duration(p.prefillSeconds[m].Weight(p.policyTime()) / sent * float64(time.Second))
 		}
 		in.Demand[m] = d
 	}
 	for _, s := range p.servers {
-		in.Servers = append(in.Servers, p.viewed(s))
+		in.Servers = append(in.Servers, p.serverView(s))
 		if s.loading != "" && !slices.Contains(s.onDisk, s.loading) {
 			in.Loading++
 			in.StoreLoads--
@@ -258,71 +267,73 @@
 	}
 	for _, a := range swap.Decide(in) {
 		if !a.Later {
-			p.order(a)
+			p.startAction(a)
 		}
 	}
 }
 
-// serveWaiting sends what can be served now, and gives up what has waited too long.
-func (p *play) serveWaiting() {
+// sendWaiting routes the waiting requests whose model is loaded and drops those
+// past their deadline.
+func (p *simulation) sendWaiting() {
 	p.waiting = slices.DeleteFunc(p.waiting, func(q *request) bool {
-		return p.now-q.at > q.class.deadline || p.send(q)
+		return p.now-q.arrivedAt > q.class.deadline || p.send(q)
 	})
 }
 
-func (p *play) viewed(s *server) swap.Server {
-	v := swap.Server{ID: s.id, Engaged: s.loading != "", Awaited: s.loading, FreeIn: max(0, s.freeAt-p.now), OnDisk: s.onDisk}
-	if p.knows.Pauses {
-		v.Slow = choose.Risk(p.pauses[s.id].Value(p.clock()), classes()[0].maxGap)
+func (p *simulation) serverView(s *server) swap.Server {
+	v := swap.Server{ID: s.id, Engaged: s.loading != "", Awaited: s.loading, FreeIn: max(0, s.loadEndsAt-p.now), OnDisk: s.onDisk}
+	if p.knowledge.Pauses {
+		v.Slow = choose.Risk(p.pausePeaks[s.id].Value(p.policyTime()), requestClasses()[0].maxGap)
 	}
-	for _, m := range sortedKeys(s.held) {
+	for _, m := range sortedKeys(s.loaded) {
 		if !slices.Contains(s.evicting, m) {
-			v.Copies = append(v.Copies, swap.Copy{Model: m, InFlight: s.uses(m), Age: p.now - s.held[m].since, Idle: p.now - s.held[m].lastUse})
+			v.Copies = append(v.Copies, swap.Copy{Model: m, InFlight: s.countRunning(m), Age: p.now - s.loaded[m].loadedAt, Idle: p.now - s.loaded[m].lastUsedAt})
 		}
 	}
 	return v
 }
 
-// order carries out an action: the evicted models leave when their requests have ended.
-func (p *play) order(a swap.Action) {
+// startAction carries out an action of the placement policy; evicted models are
+// unloaded once their requests have ended.
+func (p *simulation) startAction(a swap.Action) {
 	i := slices.IndexFunc(p.servers, func(s *server) bool { return s.id == a.Server })
 	s := p.servers[i]
-	s.loading, s.evicting, s.freeAt = a.Load, a.Evict, p.now+a.Takes
-	p.unload(s)
+	s.loading, s.evicting, s.loadEndsAt = a.Load, a.Evict, p.now+a.Takes
+	p.evictThenLoad(s)
 }
 
-func (p *play) unload(s *server) {
+func (p *simulation) evictThenLoad(s *server) {
 	for _, m := range s.evicting {
-		if s.uses(m) > 0 {
-			p.at(p.now+planEvery/2, func() { p.unload(s) })
+		if s.countRunning(m) > 0 {
+			p.schedule(p.now+planInterval/2, func() { p.evictThenLoad(s) })
 			return
 		}
 	}
 	for _, m := range s.evicting {
-		delete(s.held, m)
-		p.forget(s, m)
+		delete(s.loaded, m)
+		p.dropCachedPrefixes(s, m)
 	}
 	s.evicting = nil
-	takes := s.takes(p.engine.Model(s.loading))
+	takes := s.loadTime(p.engine.Model(s.loading))
 	if !slices.Contains(s.onDisk, s.loading) {
-		p.loads++
+		p.loadsFromStore++
 	}
-	s.freeAt = p.now + takes
-	p.at(s.freeAt, func() {
-		s.held[s.loading] = &held{since: p.now, lastUse: p.now}
+	s.loadEndsAt = p.now + takes
+	p.schedule(s.loadEndsAt, func() {
+		s.loaded[s.loading] = &loadedModel{loadedAt: p.now, lastUsedAt: p.now}
 		if !slices.Contains(s.onDisk, s.loading) {
 			s.onDisk = append(s.onDisk, s.loading)
 		}
 		s.loading = ""
-		p.serveWaiting()
+		p.sendWaiting()
 	})
 }
 
-// forget drops what a server kept of a model's prompts.
-func (p *play) forget(s *server, model string) {
-	for part := range s.parts {
+// dropCachedPrefixes removes a model's prompts from the prefix cache of a server.
+func (p *simulation) dropCachedPrefixes(s *server, model string) {
+	for part := range s.prefixCache {
 		if len(part) > len(model) && part[:len(model)+1] == model+"/" {
-			delete(s.parts, part)
+			delete(s.prefixCache, part)
 		}
 	}
 }
--- a/internal/lab/emul/plot.go
+++ b/internal/lab/emul/plot.go
@@ -9,27 +9,28 @@
 const (
 	plotWidth  = 900
 	plotHeight = 520
-	// plotLeft is kept for the legend, and plotTop for the title.
-	plotLeft = 150
-	plotTop  = 50
+	// plotLeftPadding reserves space for the legend, plotTopPadding for the title.
+	plotLeftPadding = 150
+	plotTopPadding  = 50
 )
 
-// Plot writes an SVG of the share of requests served in time against the load, a line for each set of knowledge.
+// Plot writes an SVG chart of the share of requests served in time over the
+// load factor, with one line for each knowledge set.
 func Plot(w io.Writer, title string, rows []Row) error {
 	var series []chart.Series
-	for _, k := range All() {
+	for _, k := range KnowledgeSets() {
 		line := chart.ContinuousSeries{Name: k.Name}
 		for _, r := range rows {
 			if r.Knows.Name == k.Name {
 				line.XValues = append(line.XValues, r.Load)
-				line.YValues = append(line.YValues, 100*r.Share())
+				line.YValues = append(line.YValues, 100*r.InTimeShare())
 			}
 		}
 		series = append(series, line)
 	}
 	graph := chart.Chart{
 		Title: title, Width: plotWidth, Height: plotHeight, Series: series,
-		Background: chart.Style{Padding: chart.Box{Left: plotLeft, Top: plotTop}},
+		Background: chart.Style{Padding: chart.Box{Left: plotLeftPadding, Top: plotTopPadding}},
 		XAxis:      chart.XAxis{Name: "load against the site's"}, YAxis: chart.YAxis{Name: "served in time, %"}, YAxisSecondary: chart.HideYAxis(),
 	}
 	graph.Elements = []chart.Renderable{chart.LegendLeft(&graph)}
--- a/internal/lab/emul/queue.go
+++ b/internal/lab/emul/queue.go
@@ -8,40 +8,40 @@
 	"time"
 )
 
-// event is something that happens at a time of the day.
+// event is a callback scheduled for a simulated time.
 type event struct {
 	at time.Duration
-	// order keeps events of one time in the order in which they were set.
-	order int
-	do    func()
+	// seq keeps events of the same time in the order in which they were scheduled.
+	seq int
+	run func()
 }
 
-// events is a heap, the next event first.
-type events []*event
+// eventQueue is a min-heap of events by time; it implements heap.Interface.
+type eventQueue []*event
 
-func (q events) Len() int { return len(q) }
+func (q eventQueue) Len() int { return len(q) }
 
-func (q events) Less(i, j int) bool {
-	return cmp.Or(cmp.Compare(q[i].at, q[j].at), cmp.Compare(q[i].order, q[j].order)) < 0
+func (q eventQueue) Less(i, j int) bool {
+	return cmp.Or(cmp.Compare(q[i].at, q[j].at), cmp.Compare(q[i].seq, q[j].seq)) < 0
 }
 
-func (q events) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
-// Push adds an event.
-func (q *events) Push(x any) { *q = append(*q, x.(*event)) }
+// Push appends an event.
+func (q *eventQueue) Push(x any) { *q = append(*q, x.(*event)) }
 
-// Pop takes the last element.
-func (q *events) Pop() any {
+// Pop removes and returns the last element.
+func (q *eventQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
 	*q = old[:len(old)-1]
 	return last
 }
 
-// at sets what happens at a time.
-func (p *play) at(t time.Duration, do func()) {
-	p.set++
-	heap.Push(&p.queue, &event{at: t, order: p.set, do: do})
+// schedule runs do at a simulated time.
+func (p *simulation) schedule(t time.Duration, do func()) {
+	p.scheduled++
+	heap.Push(&p.queue, &event{at: t, seq: p.scheduled, run: do})
 }
 
 func sortedKeys[V any](m map[string]V) []string {
--- a/internal/lab/emul/result.go
+++ b/internal/lab/emul/result.go
@@ -8,31 +8,32 @@
 	"github.com/sourcegraph/conc/iter"
 )
 
-// Result is what the requests of a day got, by cause.
+// Result counts the requests of one or more days by outcome.
 type Result struct {
 	Requests int
 	InTime   int
-	// Paused, Held, Slow and Lost are those that paused too long, waited for
-	// their model, got a late first event otherwise, or none at all.
+	// Paused counts requests whose stream paused too long, Held those with a
+	// late first event that mostly waited for their model to load, Slow other
+	// late first events, and Lost those past their deadline or incomplete.
 	Paused int
 	Held   int
 	Slow   int
 	Lost   int
-	// Loads are those from the weight store.
+	// Loads counts the loads from the weight store.
 	Loads int
 }
 
-func resultOf(list []*request, loads int) Result {
-	r := Result{Requests: len(list), Loads: loads}
-	for _, q := range list {
-		switch first := q.first - q.at; {
-		case !q.ended || first > q.class.deadline:
+func summarize(requests []*request, loadsFromStore int) Result {
+	r := Result{Requests: len(requests), Loads: loadsFromStore}
+	for _, q := range requests {
+		switch first := q.firstEventAt - q.arrivedAt; {
+		case !q.completed || first > q.class.deadline:
 			r.Lost++
-		case first > q.class.goal && q.sent-q.at > first/2:
+		case first > q.class.firstEventGoal && q.sentAt-q.arrivedAt > first/2:
 			r.Held++
-		case first > q.class.goal:
+		case first > q.class.firstEventGoal:
 			r.Slow++
-		case q.longest > q.class.maxGap:
+		case q.longestGap > q.class.maxGap:
 			r.Paused++
 		default:
 			r.InTime++
@@ -48,14 +49,15 @@
 	}
 }
 
-// Share returns the part of requests that were served in time.
-func (r Result) Share() float64 {
+// InTimeShare returns the share of requests served in time; 0 without requests.
+func (r Result) InTimeShare() float64 {
 	return float64(r.InTime) / float64(max(1, r.Requests))
 }
 
-// All returns the compared sets of knowledge, the system's own first.
-func All() []Knows {
-	return []Knows{
+// KnowledgeSets returns the sets to compare, starting with the one that the
+// production system uses.
+func KnowledgeSets() []Knowledge {
+	return []Knowledge{
 		{Name: "all", Parts: true, Work: true, Pauses: true},
 		{Name: "no pauses", Parts: true, Work: true},
 		{Name: "no work", Parts: true, Pauses: true},
@@ -64,46 +66,46 @@
 	}
 }
 
-// Row is the sum of one set of knowledge at one load over several seeds.
+// Row is the sum of the results of one knowledge set at one load over several seeds.
 type Row struct {
-	Knows Knows
+	Knows Knowledge
 	Load  float64
 	Result
 }
 
-// Loads are the multiples of the sites' rates that an experiment plays.
-func Loads() []float64 { return []float64{0.5, 1, 1.5, 2, 2.5} }
+// LoadFactors returns the multiples of a site's request rates that Experiment simulates.
+func LoadFactors() []float64 { return []float64{0.5, 1, 1.5, 2, 2.5} }
 
-// Experiment plays every set of knowledge at every load with every seed.
+// Experiment simulates every knowledge set at every load factor with every seed.
 func Experiment(site func(load float64, seed uint64) Options, seeds []uint64) []Row {
 	var rows []Row
-	for _, k := range All() {
-		for _, load := range Loads() {
+	for _, k := range KnowledgeSets() {
+		for _, load := range LoadFactors() {
 			rows = append(rows, Row{Knows: k, Load: load})
 		}
 	}
 	return iter.Map(rows, func(r *Row) Row {
 		for _, seed := range seeds {
-			r.Result = r.Result.Plus(Play(site(r.Load, seed), r.Knows))
+			r.Result = r.Result.Plus(Simulate(site(r.Load, seed), r.Knows))
 		}
 		return *r
 	})
 }
 
-// Write prints rows as a table with columns separated by tabs.
+// Write writes the rows as a table with tab-separated columns.
 func Write(w io.Writer, rows []Row) error {
 	if _, err := fmt.Fprintln(w, "KNOWS\tLOAD\tREQUESTS\tIN TIME\tPAUSED\tWAITED FOR MODEL\tSLOW\tLOST\tSTORE LOADS"); err != nil {
 		return err
 	}
 	for _, r := range rows {
-		part := func(n int) string { return fmt.Sprintf("%.1f%%", 100*float64(n)/float64(max(1, r.Requests))) }
+		percent := func(n int) string { return fmt.Sprintf("%.1f%%", 100*float64(n)/float64(max(1, r.Requests))) }
 		if _, err := fmt.Fprintf(w, "%s\t%.1f\t%d\t%s\t%s\t%s\t%s\t%s\t%d\n", r.Knows.Name, r.Load, r.Requests,
-			part(r.InTime), part(r.Paused), part(r.Held), part(r.Slow), part(r.Lost), r.Loads); err != nil {
+			percent(r.InTime), percent(r.Paused), percent(r.Held), percent(r.Slow), percent(r.Lost), r.Loads); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// dayLength is how long a day of an experiment is, for its title.
+// dayLength is the length of a simulated day.
 const dayLength = time.Minute
--- a/internal/lab/emul/server.go
+++ b/internal/lab/emul/server.go
@@ -7,133 +7,138 @@
 	"foxtailcroft/internal/core/site"
 )
 
-// Spec says how fast servers are. The figures of Usual are those of the sites'
-// engine: a 70B model on two accelerators.
-type Spec struct {
-	// Step is the time of one step of a batch, PerRequest and PerThousand what
-	// each request and each thousand tokens in memory add to it.
-	Step        time.Duration
-	PerRequest  time.Duration
-	PerThousand time.Duration
-	// TokensPerMs is how many prompt tokens are read in a millisecond, and
-	// PairTime what a million pairs of tokens add.
-	TokensPerMs float64
-	PairTime    time.Duration
-	// Piece is how many prompt tokens one step reads at the most, and Stride the tokens of one event.
-	Piece  int
-	Stride int
-	// Speeds are the servers' factors of time, in turn.
-	Speeds []float64
+// ServerSpec is the performance model of the servers.
+type ServerSpec struct {
+	// StepTime is the base time of one batch step; each request in the batch adds
+	// StepTimePerRequest, and each thousand tokens in the KV cache
+	// StepTimePerThousandTokens.
+	StepTime                  time.Duration
+	StepTimePerRequest        time.Duration
+	StepTimePerThousandTokens time.Duration
+	// PrefillTokensPerMs is the prefill rate without attention;
+	// TimePerMillionPairs is the attention time of a million pairs of tokens.
+	PrefillTokensPerMs  float64
+	TimePerMillionPairs time.Duration
+	// PrefillChunkTokens bounds the prompt tokens that one step prefills;
+	// TokensPerEvent is the number of generated tokens in one stream event.
+	PrefillChunkTokens int
+	TokensPerEvent     int
+	// TimeFactors multiply the step time; server i uses entry i modulo the length.
+	TimeFactors []float64
 }
 
-// Usual returns the sites' servers: every third is slower.
-func Usual() Spec {
-	return Spec{
-		Step: 4430 * time.Microsecond, PerRequest: 19 * time.Microsecond, PerThousand: 11 * time.Microsecond,
-		TokensPerMs: 38.1, PairTime: 737 * time.Microsecond, Piece: 2048, Stride: 5, Speeds: []float64{1, 1, 1.3},
+// DefaultSpec returns the performance of the sites' engine, a 70B model on two
+// accelerators; every third server is slower by a factor of 1.3.
+func DefaultSpec() ServerSpec {
+	return ServerSpec{
+		StepTime: 4430 * time.Microsecond, StepTimePerRequest: 19 * time.Microsecond, StepTimePerThousandTokens: 11 * time.Microsecond,
+		PrefillTokensPerMs: 38.1, TimePerMillionPairs: 737 * time.Microsecond, PrefillChunkTokens: 2048, TokensPerEvent: 5, TimeFactors: []float64{1, 1, 1.3},
 	}
 }
 
-// run is a request at a server.
-type run struct {
+// sequence is a request in the batch of a server.
+type sequence struct {
 	req *request
-	// missing are the prompt tokens still to be read, read those that were, and out the tokens made.
-	missing int
-	read    int
-	out     int
-	pace    float64
-	event   time.Duration
+	// prefillLeft counts the prompt tokens still to prefill, prefilled those in
+	// the KV cache, and generated the output tokens.
+	prefillLeft int
+	prefilled   int
+	generated   int
+	timeFactor  float64
+	lastEventAt time.Duration
 }
 
 // server is one emulated server.
 type server struct {
-	spec    *Spec
-	id      string
-	speed   float64
-	runs    []*run
-	held    map[string]*held
-	onDisk  []string
-	parts   map[string]bool
-	loading string
-	// evicting are the models that make way for the one that is loaded.
-	evicting []string
-	freeAt   time.Duration
-	// stepping is set while a step is under way.
+	spec        *ServerSpec
+	id          string
+	timeFactor  float64
+	batch       []*sequence
+	loaded      map[string]*loadedModel
+	onDisk      []string
+	prefixCache map[string]bool
+	loading     string
+	// evicting lists the models that are unloaded to make room for loading.
+	evicting   []string
+	loadEndsAt time.Duration
+	// stepping is true while a batch step is in progress.
 	stepping bool
 }
 
-// held is a model in a server's memory.
-type held struct {
-	since   time.Duration
-	lastUse time.Duration
+// loadedModel is a model in a server's memory.
+type loadedModel struct {
+	loadedAt   time.Duration
+	lastUsedAt time.Duration
 }
 
-// step carries out one step of the batch and returns its time; done is called
-// for each request with the events that the step completed.
-func (s *server) step() time.Duration {
-	var cost time.Duration
-	budget, tokens, pace := s.spec.Piece, 0, 0.0
-	for _, r := range s.runs {
-		tokens += r.read + r.out
-		pace = max(pace, r.pace)
-		n := min(r.missing, budget)
+// runStep prefills the chunk of one batch step and returns how long the step takes.
+func (s *server) runStep() time.Duration {
+	var prefillTime time.Duration
+	prefillBudget, contextTokens, batchFactor := s.spec.PrefillChunkTokens, 0, 0.0
+	for _, r := range s.batch {
+		contextTokens += r.prefilled + r.generated
+		batchFactor = max(batchFactor, r.timeFactor)
+		n := min(r.prefillLeft, prefillBudget)
 		if n == 0 {
 			continue
 		}
-		pairs := float64(n) * (float64(r.read) + float64(n)/2) / 1e6
-		reading := time.Duration(float64(n) / s.spec.TokensPerMs * float64(time.Millisecond))
-		cost += time.Duration(r.pace * float64(reading+time.Duration(pairs*float64(s.spec.PairTime))))
-		r.missing, r.read, budget = r.missing-n, r.read+n, budget-n
+		millionPairs := float64(n) * (float64(r.prefilled) + float64(n)/2) / 1e6
+		linearTime := time.Duration(float64(n) / s.spec.PrefillTokensPerMs * float64(time.Millisecond))
+		prefillTime += time.Duration(r.timeFactor * float64(linearTime+time.Duration(millionPairs*float64(s.spec.TimePerMillionPairs))))
+		r.prefillLeft, r.prefilled, prefillBudget = r.prefillLeft-n, r.prefilled+n, prefillBudget-n
 	}
-	base := time.Duration(pace*float64(s.spec.Step)) + time.Duration(len(s.runs))*s.spec.PerRequest + time.Duration(tokens/1000)*s.spec.PerThousand
-	return time.Duration(s.speed * float64(cost+base))
+	baseTime := time.Duration(batchFactor*float64(s.spec.StepTime)) + time.Duration(len(s.batch))*s.spec.StepTimePerRequest + time.Duration(contextTokens/1000)*s.spec.StepTimePerThousandTokens
+	return time.Duration(s.timeFactor * float64(prefillTime+baseTime))
 }
 
-// tokens gives each request that has been read its next token; those that are complete leave.
-func (s *server) tokens(now time.Duration, event func(r *run, gap time.Duration)) {
-	s.runs = slices.DeleteFunc(s.runs, func(r *run) bool {
-		if r.missing > 0 {
+// emitTokens generates one token for each sequence whose prompt is prefilled
+// and removes completed sequences. It calls onEvent for each stream event with
+// the time since the previous event, which is 0 for the first one.
+func (s *server) emitTokens(now time.Duration, onEvent func(r *sequence, gap time.Duration)) {
+	s.batch = slices.DeleteFunc(s.batch, func(r *sequence) bool {
+		if r.prefillLeft > 0 {
 			return false
 		}
-		r.out++
-		if r.out == 1 || r.out%s.spec.Stride == 0 {
+		r.generated++
+		if r.generated == 1 || r.generated%s.spec.TokensPerEvent == 0 {
 			gap := time.Duration(0)
-			if r.out > 1 {
-				gap = now - r.event
+			if r.generated > 1 {
+				gap = now - r.lastEventAt
 			}
-			r.event = now
-			event(r, gap)
+			r.lastEventAt = now
+			onEvent(r, gap)
 		}
-		return r.out >= r.req.out
+		return r.generated >= r.req.outputTokens
 	})
 }
 
-// begin takes a request in.
-func (s *server) begin(q *request, pace float64, now time.Duration) {
-	missing := s.missing(q)
+// admit adds a request to the batch.
+func (s *server) admit(q *request, timeFactor float64, now time.Duration) {
+	uncached := s.uncachedTokens(q)
 	for _, p := range q.parts {
-		s.parts[q.model+"/"+p.ID] = true
+		s.prefixCache[q.model+"/"+p.ID] = true
 	}
-	s.runs = append(s.runs, &run{req: q, missing: missing, read: q.prompt - missing, pace: pace})
-	s.held[q.model].lastUse = now
+	s.batch = append(s.batch, &sequence{req: q, prefillLeft: uncached, prefilled: q.promptTokens - uncached, timeFactor: timeFactor})
+	s.loaded[q.model].lastUsedAt = now
 }
 
-// missing returns the tokens of a prompt that the server has not read for the same model.
-func (s *server) missing(q *request) int {
-	total := q.prompt
+// uncachedTokens returns how many tokens of a prompt are not in the prefix
+// cache for the request's model; at least 1.
+func (s *server) uncachedTokens(q *request) int {
+	uncached := q.promptTokens
 	for _, p := range q.parts {
-		if !s.parts[q.model+"/"+p.ID] {
+		if !s.prefixCache[q.model+"/"+p.ID] {
 			break
 		}
-		total -= p.Tokens
+		uncached -= p.Tokens
 	}
-	return max(1, total)
+	return max(1, uncached)
 }
 
-// uses counts the requests that run on a model.
-func (s *server) uses(model string) int {
+// countRunning returns the number of requests in the batch that use a model.
+func (s *server) countRunning(model string) int {
 	n := 0
-	for _, r := range s.runs {
+	for _, r := range s.batch {
 		if r.req.model == model {
 			n++
 		}
@@ -141,8 +146,9 @@
 	return n
 }
 
-// takes returns how long a model takes to load here.
-func (s *server) takes(m *site.Model) time.Duration {
+// loadTime returns the load time of a model on this server, which depends on
+// whether the weights are on its disk.
+func (s *server) loadTime(m *site.Model) time.Duration {
 	if slices.Contains(s.onDisk, m.Name) {
 		return m.FromDisk
 	}
