--- a/internal/standin/motor/doc.go
+++ b/internal/standin/motor/doc.go
@@ -1,2 +1,4 @@
-// Package motor stands in for a model engine, with fault switches and an assertion on its accelerator memory.
+// Package motor is a stand-in for a model engine. It simulates loads and
+// generations, has fault switches, and counts loads that would exceed its
+// accelerator memory.
 package motor
--- a/internal/standin/motor/generate.go
+++ b/internal/standin/motor/generate.go
@@ -12,21 +12,21 @@
 	"foxtailcroft/internal/back/engine"
 )
 
-const defaultTokens = 16
+const defaultMaxTokens = 16
 
 var vocabulary = strings.Fields("amber bell crystal drop even facet glass hook iron jet knot lamp mirror nickel oval pendant quartz ring silver tier urn velvet wire yarn zinc wool quilt fleece linen cotton")
 
 // Word returns the n-th token of the answer to the messages of a chat completion.
-func Word(messages []byte, n int) string {
-	var seed [8]byte
-	for i := range seed {
-		seed[i] = byte(n >> (8 * i))
+func Word(messages []byte, index int) string {
+	var indexBytes [8]byte
+	for i := range indexBytes {
+		indexBytes[i] = byte(index >> (8 * i))
 	}
-	d := xxhash.New()
-	// A hash never fails to take bytes.
-	_, _ = d.Write(messages)
-	_, _ = d.Write(seed[:])
-	return vocabulary[d.Sum64()%uint64(len(vocabulary))] + " "
+	hash := xxhash.New()
+	// Writing to a hash never fails.
+	_, _ = hash.Write(messages)
+	_, _ = hash.Write(indexBytes[:])
+	return vocabulary[hash.Sum64()%uint64(len(vocabulary))] + " "
 }
 
 // Answer returns the whole answer to the messages of a chat completion.
@@ -38,53 +38,54 @@
 	return b.String()
 }
 
-type prompt struct {
+type chatPrompt struct {
 	Messages  json.RawMessage `json:"messages"`
 	MaxTokens int             `json:"max_tokens"`
 }
 
-// Generate passes on the answer's tokens at the engine's pace.
+// Generate calls fn with the tokens of the answer after the skipped ones, paced
+// by FirstToken and TokenTime, and returns the finish reason.
 func (m *Motor) Generate(ctx context.Context, r engine.Request, fn func(engine.Token) error) (string, error) {
-	var p prompt
+	var p chatPrompt
 	if err := json.Unmarshal(r.Body, &p); err != nil {
 		return "", &engine.Rejected{Status: 400, Message: err.Error()}
 	}
 	if p.MaxTokens <= 0 {
-		p.MaxTokens = defaultTokens
+		p.MaxTokens = defaultMaxTokens
 	}
-	if err := m.start(r.Item); err != nil {
+	if err := m.startGeneration(r.Item); err != nil {
 		return "", err
 	}
-	defer m.finish()
-	pace := m.set.FirstToken
+	defer m.endGeneration()
+	delay := m.settings.FirstToken
 	for n := r.SkipTokens; n < p.MaxTokens; n++ {
 		select {
-		case <-time.After(pace):
+		case <-time.After(delay):
 		case <-ctx.Done():
 			return "", &engine.Broken{Tokens: n, Err: ctx.Err()}
 		}
-		if err := m.hang(ctx, func(f Faults) bool { return f.HangTokens }); err != nil {
+		if err := m.waitWhile(ctx, func(f Faults) bool { return f.HangTokens }); err != nil {
 			return "", err
 		}
-		if m.breaks(n - r.SkipTokens) {
-			return "", &engine.Broken{Tokens: n, Err: errors.New("engine died")}
+		if m.shouldBreak(n - r.SkipTokens) {
+			return "", &engine.Broken{Tokens: n, Err: errors.New("generation broken off by fault switch BreakAfter")}
 		}
 		if err := fn(engine.Token{Index: n, Text: Word(p.Messages, n)}); err != nil {
 			return "", err
 		}
-		pace = m.set.TokenTime
+		delay = m.settings.TokenTime
 	}
 	return "stop", nil
 }
 
-func (m *Motor) start(i engine.Item) error {
+func (m *Motor) startGeneration(i engine.Item) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	base := m.base(i)
-	if base == nil || base.loading || base.leaving {
+	base := m.baseModel(i)
+	if base == nil || base.loading || base.unloading {
 		return &engine.NotLoaded{Item: i}
 	}
-	if s := m.items[i]; s == nil || s.loading || s.leaving {
+	if s := m.items[i]; s == nil || s.loading || s.unloading {
 		return &engine.NotLoaded{Item: i}
 	}
 	m.running++
@@ -92,26 +93,26 @@
 	return nil
 }
 
-// base returns the state of an item's base model at any version.
-func (m *Motor) base(i engine.Item) *state {
-	for held, s := range m.items {
-		if held.Model == i.Model && held.Adapter == "" {
+// baseModel returns the state of an item's base model at any version, or nil.
+func (m *Motor) baseModel(i engine.Item) *itemState {
+	for loaded, s := range m.items {
+		if loaded.Model == i.Model && loaded.Adapter == "" {
 			return s
 		}
 	}
 	return nil
 }
 
-func (m *Motor) finish() {
+func (m *Motor) endGeneration() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.running--
 }
 
-func (m *Motor) breaks(tokens int) bool {
+func (m *Motor) shouldBreak(sentTokens int) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.faults.BreakAfter == 0 || tokens < m.faults.BreakAfter {
+	if m.faults.BreakAfter == 0 || sentTokens < m.faults.BreakAfter {
 		return false
 	}
 	m.faults.BreakAfter = 0
--- a/internal/standin/motor/motor.go
+++ b/internal/standin/motor/motor.go
@@ -11,65 +11,66 @@
 	"foxtailcroft/internal/core/fault"
 )
 
-// Settings describe a stand-in engine.
+// Settings configure a stand-in engine.
 type Settings struct {
 	MemoryBytes int64
-	// CheckFence makes the engine refuse orders with an old fencing number.
+	// CheckFence makes the engine reject orders with an outdated fencing token.
 	CheckFence  bool
 	LoadTime    time.Duration
 	AdapterTime time.Duration
 	UnloadTime  time.Duration
-	// FirstToken and TokenTime pace a generation.
+	// FirstToken is the time to first token, TokenTime the inter-token latency.
 	FirstToken time.Duration
 	TokenTime  time.Duration
-	// ReportLag is how old a report may be.
+	// ReportLag is how long a report is reused before it is refreshed.
 	ReportLag time.Duration
-	// Weights is the weight store that loads draw on; nil for none.
+	// Weights is the weight store that limits loads; nil for no limit.
 	Weights *Weights
 }
 
-// Faults are the switches of a stand-in engine.
+// Faults are the fault switches of a stand-in engine.
 type Faults struct {
-	// HangOrders holds back every load and unload; HangTokens every generation.
+	// HangOrders blocks every load and unload, HangTokens every generation.
 	HangOrders bool
 	HangTokens bool
-	// LoseAnswers makes orders take effect and then fail, that many times.
+	// LoseAnswers is the number of next orders that take effect but return an error.
 	LoseAnswers int
-	// BreakAfter ends a generation without its end marker after that many tokens, once.
+	// BreakAfter ends one generation without a finish reason after that many
+	// tokens; 0 for never.
 	BreakAfter int
-	// FailLoads makes that many loads fail without effect.
+	// FailLoads is the number of next loads that fail without effect.
 	FailLoads int
 }
 
-type state struct {
-	bytes   int64
-	loading bool
-	leaving bool
-	// settled is closed when the load or unload under way has ended.
+type itemState struct {
+	bytes     int64
+	loading   bool
+	unloading bool
+	// settled is closed when the load or unload in progress has ended.
 	settled chan struct{}
 }
 
-// Motor is a stand-in engine; it implements engine.Engine.
+// Motor is a stand-in engine. It implements engine.Engine.
 type Motor struct {
-	set    Settings
-	mu     sync.Mutex
-	items  map[engine.Item]*state
-	fence  int64
-	faults Faults
-	freed  chan struct{}
+	settings      Settings
+	mu            sync.Mutex
+	items         map[engine.Item]*itemState
+	maxFence      int64
+	faults        Faults
+	faultsChanged chan struct{}
 
-	running    int
-	loads      int
-	overcommit int
-	generated  int
-	cached     map[string]string
-	reported   engine.Report
-	reportedAt time.Time
+	running     int
+	loads       int
+	overcommits int
+	generated   int
+	cachedAt    map[string]string
+	reported    engine.Report
+	reportedAt  time.Time
 }
 
-// New returns an engine that holds nothing.
+// New returns an engine with nothing loaded.
 func New(set Settings) *Motor {
-	return &Motor{set: set, items: map[engine.Item]*state{}, cached: map[string]string{}, freed: make(chan struct{})}
+	return &Motor{settings: set, items: map[engine.Item]*itemState{}, cachedAt: map[string]string{}, faultsChanged: make(chan struct{})}
 }
 
 // SetFaults replaces the fault switches.
@@ -77,13 +78,14 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.faults = f
-	close(m.freed)
-	m.freed = make(chan struct{})
+	close(m.faultsChanged)
+	m.faultsChanged = make(chan struct{})
 }
 
-// Stats are what a test asserts on.
+// Stats are counters for the assertions of tests.
 type Stats struct {
-	// Overcommits counts the loads that would have passed the memory.
+	// Overcommits counts the loads that were rejected because they would have
+	// exceeded the memory.
 	Overcommits int
 	Loads       int
 	Generated   int
@@ -95,10 +97,10 @@
 func (m *Motor) Stats() Stats {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return Stats{m.overcommit, m.loads, m.generated, m.running, m.fence}
+	return Stats{m.overcommits, m.loads, m.generated, m.running, m.maxFence}
 }
 
-// Holds returns the items in memory, loading ones included.
+// Holds returns the items in memory, including those being loaded or unloaded.
 func (m *Motor) Holds() []engine.Item {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -109,24 +111,25 @@
 	return out
 }
 
-// hang blocks while the switch is on.
-func (m *Motor) hang(ctx context.Context, on func(Faults) bool) error {
+// waitWhile blocks while a fault switch is set.
+func (m *Motor) waitWhile(ctx context.Context, isSet func(Faults) bool) error {
 	for {
 		m.mu.Lock()
-		hung, freed := on(m.faults), m.freed
+		blocked, changed := isSet(m.faults), m.faultsChanged
 		m.mu.Unlock()
-		if !hung {
+		if !blocked {
 			return nil
 		}
 		select {
-		case <-freed:
+		case <-changed:
 		case <-ctx.Done():
 			return &fault.Away{Part: "engine", Err: ctx.Err(), Unsettled: true}
 		}
 	}
 }
 
-// Load puts an item into memory; a repeat joins the load under way.
+// Load loads an item into memory. If the item is already being loaded, it waits
+// for that load.
 func (m *Motor) Load(ctx context.Context, o engine.Order) error {
 	if err := ctx.Err(); err != nil {
 		return &fault.Away{Part: "engine", Err: err}
@@ -134,17 +137,18 @@
 	if err := o.Allowed(ctx); err != nil {
 		return err
 	}
-	if err := m.hang(ctx, func(f Faults) bool { return f.HangOrders }); err != nil {
+	if err := m.waitWhile(ctx, func(f Faults) bool { return f.HangOrders }); err != nil {
 		return err
 	}
 	settled, err := m.beginLoad(o)
 	if err != nil {
 		return err
 	}
-	return m.await(ctx, settled)
+	return m.awaitSettled(ctx, settled)
 }
 
-// beginLoad admits a load and starts it.
+// beginLoad checks the fencing token and the free memory and starts a load. It
+// returns a channel that is closed when the load has ended.
 func (m *Motor) beginLoad(o engine.Order) (chan struct{}, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -158,45 +162,45 @@
 	if s, ok := m.items[o.Item]; ok {
 		return s.settled, nil
 	}
-	free := m.set.MemoryBytes - m.used()
+	free := m.settings.MemoryBytes - m.usedBytes()
 	if o.Bytes > free {
-		m.overcommit++
+		m.overcommits++
 		return nil, &engine.NoMemory{Item: o.Item, Free: free}
 	}
-	s := &state{bytes: o.Bytes, loading: true, settled: make(chan struct{})}
+	s := &itemState{bytes: o.Bytes, loading: true, settled: make(chan struct{})}
 	m.items[o.Item] = s
 	m.loads++
 	time.AfterFunc(m.loadTime(o.Item), func() {
 		m.mu.Lock()
 		defer m.mu.Unlock()
 		s.loading = false
-		// What was loaded once stays on the server's disk.
-		m.cached[o.Item.Model] = "disk"
+		// A loaded model stays on the server's disk.
+		m.cachedAt[o.Item.Model] = "disk"
 		close(s.settled)
 	})
 	return s.settled, nil
 }
 
 func (m *Motor) loadTime(i engine.Item) time.Duration {
-	base := m.set.LoadTime
+	loadTime := m.settings.LoadTime
 	if i.Adapter != "" {
-		base = m.set.AdapterTime
+		loadTime = m.settings.AdapterTime
 	}
-	if m.set.Weights != nil {
-		return m.set.Weights.begin(base, i.Adapter != "")
+	if m.settings.Weights != nil {
+		return m.settings.Weights.startLoad(loadTime, i.Adapter != "")
 	}
-	return base
+	return loadTime
 }
 
-func (m *Motor) checkFence(given int64) error {
-	if m.set.CheckFence && given < m.fence {
-		return &engine.Fenced{Given: given, Current: m.fence}
+func (m *Motor) checkFence(fence int64) error {
+	if m.settings.CheckFence && fence < m.maxFence {
+		return &engine.Fenced{Given: fence, Current: m.maxFence}
 	}
-	m.fence = max(m.fence, given)
+	m.maxFence = max(m.maxFence, fence)
 	return nil
 }
 
-func (m *Motor) used() int64 {
+func (m *Motor) usedBytes() int64 {
 	var sum int64
 	for _, s := range m.items {
 		sum += s.bytes
@@ -204,7 +208,7 @@
 	return sum
 }
 
-// Unload takes an item out of memory; it waits out a load under way.
+// Unload removes an item from memory, after a load of it in progress has ended.
 func (m *Motor) Unload(ctx context.Context, o engine.Order) error {
 	if err := ctx.Err(); err != nil {
 		return &fault.Away{Part: "engine", Err: err}
@@ -212,7 +216,7 @@
 	if err := o.Allowed(ctx); err != nil {
 		return err
 	}
-	if err := m.hang(ctx, func(f Faults) bool { return f.HangOrders }); err != nil {
+	if err := m.waitWhile(ctx, func(f Faults) bool { return f.HangOrders }); err != nil {
 		return err
 	}
 	for {
@@ -223,13 +227,14 @@
 		if done {
 			return m.loseAnswer()
 		}
-		if err := m.await(ctx, settled); err != nil {
+		if err := m.awaitSettled(ctx, settled); err != nil {
 			return err
 		}
 	}
 }
 
-// beginUnload starts an unload; done is true if the item is not in memory.
+// beginUnload starts an unload. It returns a channel that is closed when the load
+// or unload in progress has ended; done is true if the item is not in memory.
 func (m *Motor) beginUnload(o engine.Order) (settled chan struct{}, done bool, err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -240,11 +245,11 @@
 	if !ok {
 		return nil, true, nil
 	}
-	if s.loading || s.leaving {
+	if s.loading || s.unloading {
 		return s.settled, false, nil
 	}
-	s.leaving, s.settled = true, make(chan struct{})
-	time.AfterFunc(m.set.UnloadTime, func() {
+	s.unloading, s.settled = true, make(chan struct{})
+	time.AfterFunc(m.settings.UnloadTime, func() {
 		m.mu.Lock()
 		defer m.mu.Unlock()
 		delete(m.items, o.Item)
@@ -253,8 +258,8 @@
 	return s.settled, false, nil
 }
 
-// await waits for an order to settle and then may lose its answer.
-func (m *Motor) await(ctx context.Context, settled chan struct{}) error {
+// awaitSettled waits until an order has ended and applies LoseAnswers.
+func (m *Motor) awaitSettled(ctx context.Context, settled chan struct{}) error {
 	select {
 	case <-settled:
 		return m.loseAnswer()
@@ -273,13 +278,13 @@
 	return &fault.Away{Part: "engine", Err: errors.New("answer lost"), Unsettled: true}
 }
 
-// Report returns what the engine held up to ReportLag ago.
+// Report returns the state of the engine, which is up to ReportLag old.
 func (m *Motor) Report(context.Context) (engine.Report, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.reportedAt.IsZero() || time.Since(m.reportedAt) >= m.set.ReportLag {
+	if m.reportedAt.IsZero() || time.Since(m.reportedAt) >= m.settings.ReportLag {
 		m.reportedAt = time.Now()
-		m.reported = engine.Report{MemoryBytes: m.set.MemoryBytes, Running: m.running, Cached: maps.Clone(m.cached)}
+		m.reported = engine.Report{MemoryBytes: m.settings.MemoryBytes, Running: m.running, Cached: maps.Clone(m.cachedAt)}
 		for i, s := range m.items {
 			m.reported.Held = append(m.reported.Held, engine.Held{Item: i, Bytes: s.bytes, Loading: s.loading})
 		}
--- a/internal/standin/motor/server.go
+++ b/internal/standin/motor/server.go
@@ -13,7 +13,7 @@
 	"foxtailcroft/internal/back/engine"
 )
 
-// Handler serves the engine dialect and /faults over HTTP.
+// Handler returns the HTTP interface: the engine protocol, /faults and /stats.
 func (m *Motor) Handler() http.Handler {
 	r := httprouter.New()
 	r.POST("/v1/load", m.serveOrder(m.Load))
@@ -105,7 +105,7 @@
 	reply(w, http.StatusOK, out)
 }
 
-// serveChat streams a completion; the model's name may be an adapter's.
+// serveChat streams a completion; the model field may name a model or an adapter.
 func (m *Motor) serveChat(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	var raw json.RawMessage
 	var b struct {
@@ -122,7 +122,7 @@
 		reply(w, http.StatusBadRequest, problemBody{Error: err.Error()})
 		return
 	}
-	item, ok := m.named(b.Model)
+	item, ok := m.itemNamed(b.Model)
 	if !ok {
 		reply(w, http.StatusNotFound, problemBody{Error: fmt.Sprintf("%s is not loaded", b.Model)})
 		return
@@ -142,12 +142,13 @@
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	// A caller that has gone does not read the end.
+	// A write error means that the caller has disconnected.
 	_, _ = fmt.Fprintf(w, "data: {\"choices\":[{\"index\":0,\"delta\":{},\"finish_reason\":%q}]}\n\ndata: [DONE]\n\n", finish)
 }
 
-// named returns the loaded item whose model or adapter has the name.
-func (m *Motor) named(name string) (engine.Item, bool) {
+// itemNamed returns the item in memory, other than those being loaded, whose
+// model or adapter has the name.
+func (m *Motor) itemNamed(name string) (engine.Item, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for i, s := range m.items {
@@ -161,6 +162,6 @@
 func reply(w http.ResponseWriter, status int, out any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// A caller that has gone does not read the answer.
+	// A write error means that the caller has disconnected.
 	_ = json.NewEncoder(w).Encode(out)
 }
--- a/internal/standin/motor/weights.go
+++ b/internal/standin/motor/weights.go
@@ -6,65 +6,68 @@
 )
 
 const (
-	// modelsAtFullSpeed and adaptersAtFullSpeed bound the loads in transit that do not slow each other.
+	// modelsAtFullSpeed and adaptersAtFullSpeed are how many concurrent loads do
+	// not slow each other down.
 	modelsAtFullSpeed   = 4
 	adaptersAtFullSpeed = 30
 )
 
-// Weights is a stand-in weight store shared by engines: loads start at a bounded rate and slow each other past a number in transit.
+// Weights is a stand-in weight store shared by engines. Model loads start at a
+// bounded rate, and concurrent loads beyond a limit slow each other down.
 type Weights struct {
-	mu       sync.Mutex
-	interval time.Duration
-	next     time.Time
-	models   int
-	adapters int
-	slowdown float64
+	mu           sync.Mutex
+	loadInterval time.Duration
+	nextStart    time.Time
+	modelLoads   int
+	adapterLoads int
+	slowdown     float64
 }
 
-// NewWeights returns a weight store that starts loadsPerSecond model loads a second.
+// NewWeights returns a weight store that starts at most loadsPerSecond model loads per second.
 func NewWeights(loadsPerSecond float64) *Weights {
-	return &Weights{interval: time.Duration(float64(time.Second) / loadsPerSecond), slowdown: 1}
+	return &Weights{loadInterval: time.Duration(float64(time.Second) / loadsPerSecond), slowdown: 1}
 }
 
-// SetSlowdown multiplies the time of the loads that begin from now on.
+// SetSlowdown sets the factor by which later loads take longer and start at a lower rate.
 func (w *Weights) SetSlowdown(factor float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.slowdown = factor
 }
 
-// begin returns how long a load that begins now takes.
-func (w *Weights) begin(base time.Duration, adapter bool) time.Duration {
+// startLoad registers a load and returns how long it takes, including the wait
+// for its start.
+func (w *Weights) startLoad(base time.Duration, adapter bool) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	took := time.Duration(float64(base) * w.slowdown)
+	loadTime := time.Duration(float64(base) * w.slowdown)
 	if adapter {
-		w.adapters++
-		took = stretch(took, w.adapters, adaptersAtFullSpeed)
-		time.AfterFunc(took, func() { w.end(&w.adapters) })
-		return took
+		w.adapterLoads++
+		loadTime = slowedBySharing(loadTime, w.adapterLoads, adaptersAtFullSpeed)
+		time.AfterFunc(loadTime, func() { w.endLoad(&w.adapterLoads) })
+		return loadTime
 	}
 	now := time.Now()
 	start := now
-	if w.next.After(now) {
-		start = w.next
+	if w.nextStart.After(now) {
+		start = w.nextStart
 	}
-	w.next = start.Add(time.Duration(float64(w.interval) * w.slowdown))
-	w.models++
-	took = start.Sub(now) + stretch(took, w.models, modelsAtFullSpeed)
-	time.AfterFunc(took, func() { w.end(&w.models) })
-	return took
+	w.nextStart = start.Add(time.Duration(float64(w.loadInterval) * w.slowdown))
+	w.modelLoads++
+	loadTime = start.Sub(now) + slowedBySharing(loadTime, w.modelLoads, modelsAtFullSpeed)
+	time.AfterFunc(loadTime, func() { w.endLoad(&w.modelLoads) })
+	return loadTime
 }
 
-func (w *Weights) end(count *int) {
+func (w *Weights) endLoad(count *int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	*count--
 }
 
-func stretch(d time.Duration, transit, full int) time.Duration {
-	if transit <= full {
+func slowedBySharing(d time.Duration, inTransit, fullSpeedLimit int) time.Duration {
+	if inTransit <= fullSpeedLimit {
 		return d
 	}
-	return d * time.Duration(transit) / time.Duration(full)
+	return d * time.Duration(inTransit) / time.Duration(fullSpeedLimit)
 }
--- a/internal/standin/platf/doc.go
+++ b/internal/standin/platf/doc.go
@@ -1,2 +1,3 @@
-// Package platf stands in for the platform: the key-value service and the instance list, with fault switches.
+// Package platf is a stand-in for the platform: an in-memory key-value store with
+// leases and watches, and the instance list, both with fault switches.
 package platf
--- a/internal/standin/platf/memory.go
+++ b/internal/standin/platf/memory.go
@@ -13,26 +13,27 @@
 	"foxtailcroft/internal/plat/store"
 )
 
-// Faults are the switches of the stand-in store.
+// Faults are the fault switches of the stand-in store.
 type Faults struct {
 	// Away makes every call fail without effect.
 	Away bool
 	// Delay is added to every call.
 	Delay time.Duration
-	// LoseAnswers is the share of writes whose answer is lost after they took effect.
+	// LoseAnswers is the share of writes that take effect but return an error.
 	LoseAnswers float64
-	// StaleBy makes reads answer from the state that many revisions ago, as after a bad failover.
+	// StaleBy makes reads return the state that many revisions ago, as after a
+	// failover to a lagging replica.
 	StaleBy int64
-	// MuteWatches stops events without ending the watches.
+	// MuteWatches withholds events without ending the watches.
 	MuteWatches bool
 }
 
-// Calls counts the calls of each sort.
+// Calls counts the calls by kind.
 type Calls struct {
 	Reads, Writes, Watches, Leases int64
 }
 
-type change struct {
+type logEntry struct {
 	store.Event
 }
 
@@ -41,28 +42,28 @@
 	expires time.Time
 }
 
-// Memory is an in-process store with fault switches; it implements store.Store.
+// Memory is an in-memory store with fault switches. It implements store.Store.
 type Memory struct {
-	mu       sync.Mutex
-	revision int64
-	live     map[string]store.KV
-	log      []change
-	leases   map[int64]lease
-	nextID   int64
-	faults   Faults
-	calls    Calls
-	changed  chan struct{}
-	rnd      *rand.Rand
-	// compacted is the revision up to which the history is dropped.
-	compacted int64
+	mu          sync.Mutex
+	revision    int64
+	current     map[string]store.KV
+	log         []logEntry
+	leases      map[int64]lease
+	lastLeaseID int64
+	faults      Faults
+	calls       Calls
+	changed     chan struct{}
+	rnd         *rand.Rand
+	// compactedRevision is the revision up to which the history is discarded.
+	compactedRevision int64
 }
 
-var errAway = errors.New("the store is away")
+var errUnavailable = errors.New("the store is away")
 
-// NewMemory returns an empty store; the seed decides which answers are lost.
+// NewMemory returns an empty store; the seed determines which answers LoseAnswers affects.
 func NewMemory(seed uint64) *Memory {
 	return &Memory{
-		live: map[string]store.KV{}, leases: map[int64]lease{}, revision: 1,
+		current: map[string]store.KV{}, leases: map[int64]lease{}, revision: 1,
 		changed: make(chan struct{}), rnd: rand.New(rand.NewPCG(seed, 1)),
 	}
 }
@@ -72,7 +73,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.faults = f
-	m.wake()
+	m.wakeWatches()
 }
 
 // Faults returns the fault switches.
@@ -82,15 +83,16 @@
 	return m.faults
 }
 
-// Calls returns the calls so far.
+// Calls returns the number of calls so far.
 func (m *Memory) Calls() Calls {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.calls
 }
 
-// begin waits out the delay and fails if the store is away.
-func (m *Memory) begin(ctx context.Context, count *int64) error {
+// startCall counts a call, waits for the Delay fault, and returns an error while
+// the Away fault is set.
+func (m *Memory) startCall(ctx context.Context, count *int64) error {
 	m.mu.Lock()
 	f := m.faults
 	*count++
@@ -103,20 +105,20 @@
 		}
 	}
 	if f.Away {
-		return &fault.Away{Part: "store", Err: errAway, Unsettled: true}
+		return &fault.Away{Part: "store", Err: errUnavailable, Unsettled: true}
 	}
 	return nil
 }
 
 // Range returns the keys with a prefix.
 func (m *Memory) Range(ctx context.Context, prefix string) (store.List, error) {
-	if err := m.begin(ctx, &m.calls.Reads); err != nil {
+	if err := m.startCall(ctx, &m.calls.Reads); err != nil {
 		return store.List{}, err
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.expire()
-	state, revision := m.state()
+	m.expireLeases()
+	state, revision := m.readableState()
 	list := store.List{Revision: revision}
 	for key, kv := range state {
 		if strings.HasPrefix(key, prefix) {
@@ -129,21 +131,22 @@
 
 // Get returns one key.
 func (m *Memory) Get(ctx context.Context, key string) (store.KV, bool, error) {
-	if err := m.begin(ctx, &m.calls.Reads); err != nil {
+	if err := m.startCall(ctx, &m.calls.Reads); err != nil {
 		return store.KV{}, false, err
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.expire()
-	state, _ := m.state()
+	m.expireLeases()
+	state, _ := m.readableState()
 	kv, ok := state[key]
 	return kv, ok, nil
 }
 
-// state returns the readable state, which is an old one while StaleBy is set.
-func (m *Memory) state() (map[string]store.KV, int64) {
+// readableState returns the state that reads see and its revision; while StaleBy
+// is set, that is an earlier state rebuilt from the log.
+func (m *Memory) readableState() (map[string]store.KV, int64) {
 	if m.faults.StaleBy == 0 {
-		return m.live, m.revision
+		return m.current, m.revision
 	}
 	until := max(1, m.revision-m.faults.StaleBy)
 	old := map[string]store.KV{}
@@ -162,12 +165,12 @@
 
 // Commit runs a transaction.
 func (m *Memory) Commit(ctx context.Context, t store.Txn) (store.Result, error) {
-	if err := m.begin(ctx, &m.calls.Writes); err != nil {
+	if err := m.startCall(ctx, &m.calls.Writes); err != nil {
 		return store.Result{}, err
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.expire()
+	m.expireLeases()
 	for _, p := range t.Puts {
 		if _, ok := m.leases[p.Lease]; p.Lease != 0 && !ok {
 			return store.Result{}, &fault.Missing{Key: "lease"}
@@ -181,50 +184,50 @@
 }
 
 func (m *Memory) apply(t store.Txn) store.Result {
-	holds := true
+	comparesHold := true
 	var found []store.KV
 	for _, c := range t.If {
-		kv, ok := m.live[c.Key]
+		kv, ok := m.current[c.Key]
 		if ok {
 			found = append(found, kv)
 		}
-		holds = holds && kv.Revision == c.Revision
+		comparesHold = comparesHold && kv.Revision == c.Revision
 	}
-	if !holds {
+	if !comparesHold {
 		return store.Result{Revision: m.revision, Found: found}
 	}
 	if len(t.Puts)+len(t.Deletes) > 0 {
 		m.revision++
 	}
 	for _, p := range t.Puts {
-		m.set(store.Event{KV: store.KV{Key: p.Key, Value: slices.Clone(p.Value), Revision: m.revision, Lease: p.Lease}})
+		m.record(store.Event{KV: store.KV{Key: p.Key, Value: slices.Clone(p.Value), Revision: m.revision, Lease: p.Lease}})
 	}
 	for _, d := range t.Deletes {
-		if _, ok := m.live[d]; ok {
-			m.set(store.Event{KV: store.KV{Key: d, Revision: m.revision}, Deleted: true})
+		if _, ok := m.current[d]; ok {
+			m.record(store.Event{KV: store.KV{Key: d, Revision: m.revision}, Deleted: true})
 		}
 	}
-	m.wake()
+	m.wakeWatches()
 	return store.Result{Succeeded: true, Revision: m.revision}
 }
 
-func (m *Memory) set(e store.Event) {
+func (m *Memory) record(e store.Event) {
 	if e.Deleted {
-		delete(m.live, e.Key)
+		delete(m.current, e.Key)
 	} else {
-		m.live[e.Key] = e.KV
+		m.current[e.Key] = e.KV
 	}
-	m.log = append(m.log, change{e})
+	m.log = append(m.log, logEntry{e})
 }
 
-// wake lets the watches look again.
-func (m *Memory) wake() {
+// wakeWatches makes all watches check for events and faults.
+func (m *Memory) wakeWatches() {
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
 
-// expire deletes the keys of expired leases.
-func (m *Memory) expire() {
+// expireLeases removes expired leases and deletes their keys.
+func (m *Memory) expireLeases() {
 	now := time.Now()
 	for id, l := range m.leases {
 		if now.Before(l.expires) {
@@ -232,7 +235,7 @@
 		}
 		delete(m.leases, id)
 		var keys []string
-		for key, kv := range m.live {
+		for key, kv := range m.current {
 			if kv.Lease == id {
 				keys = append(keys, key)
 			}
@@ -244,24 +247,24 @@
 
 // Grant returns a new lease.
 func (m *Memory) Grant(ctx context.Context, ttl time.Duration) (int64, error) {
-	if err := m.begin(ctx, &m.calls.Leases); err != nil {
+	if err := m.startCall(ctx, &m.calls.Leases); err != nil {
 		return 0, err
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.nextID++
-	m.leases[m.nextID] = lease{ttl: ttl, expires: time.Now().Add(ttl)}
-	return m.nextID, nil
+	m.lastLeaseID++
+	m.leases[m.lastLeaseID] = lease{ttl: ttl, expires: time.Now().Add(ttl)}
+	return m.lastLeaseID, nil
 }
 
-// KeepAlive renews a lease.
+// KeepAlive renews a lease; it returns false if the lease does not exist.
 func (m *Memory) KeepAlive(ctx context.Context, id int64) (bool, error) {
-	if err := m.begin(ctx, &m.calls.Leases); err != nil {
+	if err := m.startCall(ctx, &m.calls.Leases); err != nil {
 		return false, err
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.expire()
+	m.expireLeases()
 	l, ok := m.leases[id]
 	if ok {
 		m.leases[id] = lease{ttl: l.ttl, expires: time.Now().Add(l.ttl)}
@@ -269,44 +272,46 @@
 	return ok, nil
 }
 
-// Release ends a lease; its keys are removed.
+// Release ends a lease and deletes its keys.
 func (m *Memory) Release(ctx context.Context, id int64) error {
-	if err := m.begin(ctx, &m.calls.Leases); err != nil {
+	if err := m.startCall(ctx, &m.calls.Leases); err != nil {
 		return err
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if _, ok := m.leases[id]; ok {
 		m.leases[id] = lease{}
-		m.expire()
+		m.expireLeases()
 	}
 	return nil
 }
 
-// Compact drops the history up to now; watches that are behind have to read all again.
+// Compact discards the history up to the current revision. Watches that are
+// behind it fail with store.Compacted and have to read everything again.
 func (m *Memory) Compact() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.compacted = m.revision
-	m.wake()
+	m.compactedRevision = m.revision
+	m.wakeWatches()
 }
 
-// Watch calls fn for changes under the prefix after a revision.
+// Watch calls fn with the changes under the prefix after a revision until the
+// context ends, fn fails, or the store is unavailable.
 func (m *Memory) Watch(ctx context.Context, prefix string, after int64, fn func(store.Batch) error) error {
-	if err := m.begin(ctx, &m.calls.Watches); err != nil {
+	if err := m.startCall(ctx, &m.calls.Watches); err != nil {
 		return err
 	}
 	for {
 		m.mu.Lock()
 		if m.faults.Away {
 			m.mu.Unlock()
-			return &fault.Away{Part: "store watch", Err: errAway}
+			return &fault.Away{Part: "store watch", Err: errUnavailable}
 		}
-		if after < m.compacted {
+		if after < m.compactedRevision {
 			m.mu.Unlock()
 			return &store.Compacted{Revision: after}
 		}
-		batch, changed := m.since(prefix, after), m.changed
+		batch, changed := m.eventsSince(prefix, after), m.changed
 		m.mu.Unlock()
 		if len(batch.Events) > 0 {
 			if err := fn(batch); err != nil {
@@ -323,13 +328,14 @@
 	}
 }
 
-// since returns the events under the prefix after a revision.
-func (m *Memory) since(prefix string, after int64) store.Batch {
+// eventsSince returns the events under the prefix after a revision; none while
+// MuteWatches or StaleBy is set.
+func (m *Memory) eventsSince(prefix string, after int64) store.Batch {
 	batch := store.Batch{Revision: m.revision}
 	if m.faults.MuteWatches || m.faults.StaleBy > 0 {
 		return batch
 	}
-	first, _ := slices.BinarySearchFunc(m.log, after+1, func(c change, rev int64) int { return int(c.Revision - rev) })
+	first, _ := slices.BinarySearchFunc(m.log, after+1, func(c logEntry, rev int64) int { return int(c.Revision - rev) })
 	for _, c := range m.log[first:] {
 		if strings.HasPrefix(c.Key, prefix) {
 			batch.Events = append(batch.Events, c.Event)
@@ -340,10 +346,10 @@
 
 var _ store.Store = (*Memory)(nil)
 
-// Peek returns a key's value past all faults and without counting a call.
+// Peek returns a key's value regardless of faults and without counting a call.
 func (m *Memory) Peek(key string) ([]byte, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	kv, ok := m.live[key]
+	kv, ok := m.current[key]
 	return kv.Value, ok
 }
--- a/internal/standin/platf/server.go
+++ b/internal/standin/platf/server.go
@@ -12,44 +12,46 @@
 	"foxtailcroft/internal/plat/store"
 )
 
-// Platform serves the store and the instance list over HTTP.
+// Platform is a stand-in platform with a store and an instance list.
 type Platform struct {
 	Store *Memory
 	mu    sync.Mutex
 	list  []fleet.Instance
-	// listLag is how long a change of the list takes to show.
+	// listLag is the delay until readers see a change of the list.
 	listLag time.Duration
-	changes []listed
+	changes []listChange
 }
 
-type listed struct {
-	at   time.Time
-	list []fleet.Instance
+type listChange struct {
+	visibleAt time.Time
+	list      []fleet.Instance
 }
 
-// NewPlatform returns a platform with a list of instances that lags by listLag.
+// NewPlatform returns a platform with a list of instances; readers see later
+// changes of the list after listLag.
 func NewPlatform(seed uint64, listLag time.Duration, list []fleet.Instance) *Platform {
 	return &Platform{Store: NewMemory(seed), listLag: listLag, list: list}
 }
 
-// SetInstances replaces the list; readers see it after the lag.
+// SetInstances replaces the list; readers see the change after the lag.
 func (p *Platform) SetInstances(list []fleet.Instance) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.changes = append(p.changes, listed{time.Now().Add(p.listLag), list})
+	p.changes = append(p.changes, listChange{time.Now().Add(p.listLag), list})
 }
 
-// Visible returns the list as readers see it now.
+// Visible returns the list that readers currently see.
 func (p *Platform) Visible() []fleet.Instance {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for len(p.changes) > 0 && !time.Now().Before(p.changes[0].at) {
+	for len(p.changes) > 0 && !time.Now().Before(p.changes[0].visibleAt) {
 		p.list, p.changes = p.changes[0].list, p.changes[1:]
 	}
 	return p.list
 }
 
-// Handler returns the HTTP interface: the etcd v3 subset, /v1/instances and /faults.
+// Handler returns the HTTP interface: a subset of the etcd v3 JSON gateway,
+// /v1/instances, /faults and /calls.
 func (p *Platform) Handler() http.Handler {
 	r := httprouter.New()
 	r.POST("/v3/kv/range", p.serveRange)
@@ -105,7 +107,7 @@
 	return jsonKV{Key: []byte(kv.Key), Value: kv.Value, ModRevision: kv.Revision, Lease: kv.Lease}
 }
 
-func toList(list store.List) jsonList {
+func toJSONList(list store.List) jsonList {
 	out := jsonList{Header: jsonHeader{list.Revision}}
 	for _, kv := range list.KVs {
 		out.KVs = append(out.KVs, toJSON(kv))
@@ -120,7 +122,7 @@
 	}
 	if len(req.RangeEnd) > 0 {
 		list, err := p.Store.Range(r.Context(), string(req.Key))
-		answer(w, toList(list), err)
+		answer(w, toJSONList(list), err)
 		return
 	}
 	kv, ok, err := p.Store.Get(r.Context(), string(req.Key))
@@ -128,7 +130,7 @@
 	if ok {
 		list.KVs = []store.KV{kv}
 	}
-	answer(w, toList(list), err)
+	answer(w, toJSONList(list), err)
 }
 
 type jsonTxn struct {
@@ -171,7 +173,7 @@
 		Responses []response `json:"responses,omitempty"`
 	}{Header: jsonHeader{res.Revision}, Succeeded: res.Succeeded}
 	for _, kv := range res.Found {
-		out.Responses = append(out.Responses, response{toList(store.List{KVs: []store.KV{kv}})})
+		out.Responses = append(out.Responses, response{toJSONList(store.List{KVs: []store.KV{kv}})})
 	}
 	answer(w, out, err)
 }
@@ -235,7 +237,7 @@
 	}
 	control := http.NewResponseController(w)
 	if p.Store.Faults().Away {
-		answer(w, nil, errAway)
+		answer(w, nil, errUnavailable)
 		return
 	}
 	send := func(l line) error {
@@ -247,7 +249,7 @@
 	if send(line{result{Created: true}}) != nil {
 		return
 	}
-	// The reader sees the end of the stream; the error itself has no place in the protocol.
+	// The protocol cannot carry the error; the reader only sees the stream end.
 	_ = p.Store.Watch(r.Context(), string(req.Create.Key), req.Create.StartRevision-1, func(b store.Batch) error {
 		out := result{Header: jsonHeader{b.Revision}}
 		for _, e := range b.Events {
@@ -279,6 +281,6 @@
 
 func reply(w http.ResponseWriter, out any) {
 	w.Header().Set("Content-Type", "application/json")
-	// A caller that has gone does not read the answer.
+	// A write error means that the caller has disconnected.
 	_ = json.NewEncoder(w).Encode(out)
 }
--- a/internal/standin/shop/doc.go
+++ b/internal/standin/shop/doc.go
@@ -1,2 +1,3 @@
-// Package shop stands in for a plain service that takes orders and bookings, with fault switches and an exact count of runs.
+// Package shop is a stand-in for a plain HTTP service that takes orders and
+// bookings. It has fault switches and counts how often each call ran.
 package shop
--- a/internal/standin/shop/shop.go
+++ b/internal/standin/shop/shop.go
@@ -13,20 +13,20 @@
 	"foxtailcroft/internal/back/plain"
 )
 
-// Faults are the switches of the stand-in service.
+// Faults are the fault switches of the stand-in service.
 type Faults struct {
 	// Delay is how long a call takes.
 	Delay time.Duration
-	// LoseAnswers makes that many calls run and then fail.
+	// LoseAnswers is the number of next calls that run but return an error.
 	LoseAnswers int
-	// Refuse makes calls fail before they leave.
+	// Refuse makes calls fail before they are sent.
 	Refuse bool
-	// Hang holds back every answer after the call ran.
+	// Hang withholds every answer after the call ran.
 	Hang bool
 }
 
-// Shop counts the runs of each call by its body; it implements plain.Service.
-// Shops of one service share one book.
+// Shop is a stand-in service endpoint. It implements plain.Service. The endpoints
+// of one service share a Book.
 type Shop struct {
 	name   string
 	book   *Book
@@ -34,43 +34,44 @@
 	faults Faults
 }
 
-// Book records the calls that ran, over all endpoints of a service.
+// Book counts the non-idempotent calls that ran, by body, over all endpoints of
+// a service.
 type Book struct {
-	mu   sync.Mutex
-	runs map[string]int
+	mu         sync.Mutex
+	runsByBody map[string]int
 }
 
 // NewBook returns an empty book.
 func NewBook() *Book {
-	return &Book{runs: map[string]int{}}
+	return &Book{runsByBody: map[string]int{}}
 }
 
-// Runs returns how often a non-idempotent call with the body ran.
+// Runs returns how often a call with the body ran.
 func (b *Book) Runs(body string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.runs[body]
+	return b.runsByBody[body]
 }
 
-// All returns the runs of every body.
+// All returns a copy of the number of runs of each body.
 func (b *Book) All() map[string]int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	out := map[string]int{}
-	for k, v := range b.runs {
+	for k, v := range b.runsByBody {
 		out[k] = v
 	}
 	return out
 }
 
-func (b *Book) run(body string) int {
+func (b *Book) record(body string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.runs[body]++
-	return len(b.runs)
+	b.runsByBody[body]++
+	return len(b.runsByBody)
 }
 
-// New returns a service endpoint that writes into the book.
+// New returns an endpoint of the named service that records its calls in book.
 func New(name string, book *Book) *Shop {
 	return &Shop{name: name, book: book}
 }
@@ -82,35 +83,36 @@
 	s.faults = f
 }
 
-// Do runs a call: GET reads the number of entries, other methods write one.
+// Do runs a call: GET and HEAD return the number of recorded bodies, other methods
+// record the body.
 func (s *Shop) Do(ctx context.Context, c plain.Call) (plain.Answer, error) {
 	s.mu.Lock()
 	f := s.faults
-	lose := f.LoseAnswers > 0
-	if lose {
+	loseAnswer := f.LoseAnswers > 0
+	if loseAnswer {
 		s.faults.LoseAnswers--
 	}
 	s.mu.Unlock()
 	if f.Refuse {
-		return plain.Answer{}, &plain.NotSent{Err: errors.New("refused")}
+		return plain.Answer{}, &plain.NotSent{Err: errors.New("connection refused by fault switch Refuse")}
 	}
-	answer := s.run(c)
-	var hold <-chan time.Time
+	result := s.execute(c)
+	var answerDue <-chan time.Time
 	if !f.Hang {
-		hold = time.After(f.Delay)
+		answerDue = time.After(f.Delay)
 	}
 	select {
-	case <-hold:
+	case <-answerDue:
 	case <-ctx.Done():
 		return plain.Answer{}, &plain.Lost{Err: ctx.Err()}
 	}
-	if lose {
-		return plain.Answer{}, &plain.Lost{Err: errors.New("answer lost")}
+	if loseAnswer {
+		return plain.Answer{}, &plain.Lost{Err: errors.New("fault switch LoseAnswers is set")}
 	}
-	return answer, nil
+	return result, nil
 }
 
-func (s *Shop) run(c plain.Call) plain.Answer {
+func (s *Shop) execute(c plain.Call) plain.Answer {
 	out := struct {
 		Service string
 		Path    string
@@ -118,7 +120,7 @@
 	}{Service: s.name, Path: c.Path}
 	status := http.StatusOK
 	if c.Method != http.MethodGet && c.Method != http.MethodHead {
-		out.Entries = s.book.run(string(c.Body))
+		out.Entries = s.book.record(string(c.Body))
 		status = http.StatusCreated
 	} else {
 		out.Entries = len(s.book.All())
@@ -130,7 +132,7 @@
 	return plain.Answer{Status: status, Header: http.Header{"Content-Type": {"application/json"}}, Body: body}
 }
 
-// Handler serves the service, /stats and /faults over HTTP.
+// Handler returns the HTTP interface: the service itself, /stats and /faults.
 func (s *Shop) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT /faults", func(w http.ResponseWriter, r *http.Request) {
@@ -142,7 +144,7 @@
 		s.SetFaults(f)
 	})
 	mux.HandleFunc("GET /stats", func(w http.ResponseWriter, _ *http.Request) {
-		// A caller that has gone does not read the answer.
+		// A write error means that the caller has disconnected.
 		_ = json.NewEncoder(w).Encode(s.book.All())
 	})
 	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
@@ -159,7 +161,7 @@
 			w.Header()[k] = v
 		}
 		w.WriteHeader(answer.Status)
-		// A caller that has gone does not read the answer.
+		// A write error means that the caller has disconnected.
 		_, _ = fmt.Fprintf(w, "%s", answer.Body)
 	})
 	return mux
