--- a/internal/lab/emul/day.go
+++ b/internal/lab/emul/day.go
@@ -18,7 +18,9 @@
 	deadline          time.Duration
 	// sharedParts are the leading prompt parts that requests have in common;
 	// each request draws one variant of each.
-	sharedParts   []sharedPart
+	sharedParts []sharedPart
+	// meanOwnTokens is the mean number of prompt tokens after the shared parts,
+	// and meanEvents the mean number of stream events of an answer.
 	meanOwnTokens float64
 	meanEvents    float64
 	// usesBusyModels makes requests use one of the two models that are busy at
@@ -31,6 +33,7 @@
 }
 
 const (
+	// busyModels is how many models take turns at being busy, two at a time.
 	busyModels = 5
 	// busyPeriod is how long the same two models stay busy.
 	busyPeriod = 15 * time.Second
@@ -66,7 +69,8 @@
 	uncachedTokens int
 	// noOtherPrefill is true if the server had no other prefill in progress when the request was sent.
 	noOtherPrefill bool
-	// expectedPrefill is the forecast prefill time of the uncached prompt tokens.
+	// expectedPrefill is the forecast prefill time of the prompt tokens that
+	// routing takes as uncached: all of them without Knowledge.Parts.
 	expectedPrefill time.Duration
 	completed       bool
 }
--- a/internal/lab/emul/play.go
+++ b/internal/lab/emul/play.go
@@ -223,7 +223,8 @@
 	})
 }
 
-// recordEvent updates the measurements of a request for one event of its stream.
+// recordEvent updates the outcome of a request for one event of its stream and
+// the measurements that routing uses: prefill speeds and pause peaks.
 func (p *simulation) recordEvent(r *sequence, gap time.Duration) {
 	q := r.req
 	if r.generated == 1 {
--- a/internal/lab/emul/server.go
+++ b/internal/lab/emul/server.go
@@ -44,6 +44,7 @@
 	prefillLeft int
 	prefilled   int
 	generated   int
+	// timeFactor is that of the model: it multiplies prefill and step times.
 	timeFactor  float64
 	lastEventAt time.Duration
 }
@@ -112,7 +113,7 @@
 	})
 }
 
-// admit adds a request to the batch.
+// admit adds a request to the batch and its shared prompt parts to the prefix cache.
 func (s *server) admit(q *request, timeFactor float64, now time.Duration) {
 	uncached := s.uncachedTokens(q)
 	for _, p := range q.parts {
--- a/internal/lab/flows/flows.go
+++ b/internal/lab/flows/flows.go
@@ -114,10 +114,10 @@
 func drawModel(rnd *rand.Rand, i int) Model {
 	gigabytes := 16 + rnd.IntN(48)
 	// The weight store delivers about 4 GB/s, the disk twice and memory eight times that.
-	remote := time.Duration(gigabytes) * 250 * time.Millisecond
+	storeTime := time.Duration(gigabytes) * 250 * time.Millisecond
 	return Model{
 		Name: fmt.Sprintf("model-%02d", i), Bytes: int64(gigabytes) * gigabyte,
-		FromMemory: engineStartTime + remote/8, FromDisk: engineStartTime + remote/2, FromStore: engineStartTime + remote,
+		FromMemory: engineStartTime + storeTime/8, FromDisk: engineStartTime + storeTime/2, FromStore: engineStartTime + storeTime,
 	}
 }
 
@@ -125,51 +125,51 @@
 const engineStartTime = 12 * time.Second
 
 func drawPattern(rnd *rand.Rand, adapter bool) usagePattern {
-	h := usagePattern{
+	pattern := usagePattern{
 		sessionsPerDay: math.Exp(rnd.Float64()*2.6) * 0.5, requestsPerSession: 3 + rnd.Float64()*12,
 		meanGap: time.Duration(10+rnd.IntN(80)) * time.Second, offHoursShare: rnd.Float64() * 0.15, burstSize: 1,
 	}
 	if adapter {
-		h.sessionsPerDay /= 3
+		pattern.sessionsPerDay /= 3
 	}
 	switch rnd.IntN(10) {
 	case 0, 1:
-		h = usagePattern{interval: time.Duration(20+rnd.IntN(100)) * time.Minute, burstSize: 1}
+		pattern = usagePattern{interval: time.Duration(20+rnd.IntN(100)) * time.Minute, burstSize: 1}
 	case 2, 3:
-		h.burstSize = 16 + rnd.IntN(48)
+		pattern.burstSize = 16 + rnd.IntN(48)
 	case 4, 5:
-		h.requestsPerSession, h.sessionsPerDay = 1, h.sessionsPerDay*2
+		pattern.requestsPerSession, pattern.sessionsPerDay = 1, pattern.sessionsPerDay*2
 	}
-	return h
+	return pattern
 }
 
 // addPattern appends the arrivals of a usage pattern between two times.
-func (w *Workload) addPattern(rnd *rand.Rand, model int, h usagePattern, from, to time.Duration) {
-	if h.interval > 0 {
-		w.addScheduled(rnd, model, h, from, to)
+func (w *Workload) addPattern(rnd *rand.Rand, model int, pattern usagePattern, from, to time.Duration) {
+	if pattern.interval > 0 {
+		w.addScheduled(rnd, model, pattern, from, to)
 		return
 	}
 	for start := from; start < to; start += day {
-		for range poisson(rnd, h.sessionsPerDay) {
-			w.addSession(rnd, model, h, start+drawTimeOfDay(rnd, h.offHoursShare), to)
+		for range poisson(rnd, pattern.sessionsPerDay) {
+			w.addSession(rnd, model, pattern, start+drawTimeOfDay(rnd, pattern.offHoursShare), to)
 		}
 	}
 }
 
 // addScheduled appends scheduled arrivals, each delayed by up to a minute.
-func (w *Workload) addScheduled(rnd *rand.Rand, model int, h usagePattern, from, to time.Duration) {
-	for at := from + time.Duration(rnd.Float64()*float64(h.interval)); at < to; at += h.interval {
+func (w *Workload) addScheduled(rnd *rand.Rand, model int, pattern usagePattern, from, to time.Duration) {
+	for at := from + time.Duration(rnd.Float64()*float64(pattern.interval)); at < to; at += pattern.interval {
 		w.addArrival(rnd, model, at+time.Duration(rnd.Float64()*float64(time.Minute)))
 	}
 }
 
 // addSession appends the burst that begins a session and the requests that follow it.
-func (w *Workload) addSession(rnd *rand.Rand, model int, h usagePattern, at, to time.Duration) {
-	for range h.burstSize {
+func (w *Workload) addSession(rnd *rand.Rand, model int, pattern usagePattern, at, to time.Duration) {
+	for range pattern.burstSize {
 		w.addArrival(rnd, model, at+time.Duration(rnd.Float64()*float64(burstDuration)))
 	}
-	for n := poisson(rnd, h.requestsPerSession-1); n > 0 && at < to; n-- {
-		at += time.Duration(rnd.ExpFloat64() * float64(h.meanGap))
+	for n := poisson(rnd, pattern.requestsPerSession-1); n > 0 && at < to; n-- {
+		at += time.Duration(rnd.ExpFloat64() * float64(pattern.meanGap))
 		w.addArrival(rnd, model, at)
 	}
 }
--- a/internal/lab/trial/run.go
+++ b/internal/lab/trial/run.go
@@ -59,10 +59,12 @@
 
 // slot is the single slot of a model, with its replica and queued requests.
 type slot struct {
-	model       int
-	server      int
-	phase       phase
-	running     int
+	model   int
+	server  int
+	phase   phase
+	running int
+	// idleSince is the time up to which idle time is in IdleHours, and
+	// quietSince the time when the last request ended.
 	idleSince   time.Duration
 	quietSince  time.Duration
 	hasArrivals bool
@@ -146,8 +148,8 @@
 	}
 }
 
-// place chooses a server for a slot by the placement policy. Each checkpoint is
-// initially on the disks of a third of the servers.
+// place chooses a server for a slot by the placement policy. Each checkpoint
+// starts on the disks of a third of the servers.
 func (r *simulation) place(s *slot) {
 	m := r.workload.Models[s.model]
 	var candidates []place.Endpoint
--- a/internal/standin/motor/motor.go
+++ b/internal/standin/motor/motor.go
@@ -52,9 +52,10 @@
 
 // Motor is a stand-in engine. It implements engine.Engine.
 type Motor struct {
-	settings      Settings
-	mu            sync.Mutex
-	items         map[engine.Item]*itemState
+	settings Settings
+	mu       sync.Mutex
+	items    map[engine.Item]*itemState
+	// maxFence is the highest fencing token seen.
 	maxFence      int64
 	faults        Faults
 	faultsChanged chan struct{}
@@ -63,9 +64,10 @@
 	loads       int
 	overcommits int
 	generated   int
-	cachedAt    map[string]string
-	reported    engine.Report
-	reportedAt  time.Time
+	// cachedAt gives for each model that was ever loaded where its weights are cached.
+	cachedAt   map[string]string
+	reported   engine.Report
+	reportedAt time.Time
 }
 
 // New returns an engine with nothing loaded.
--- a/internal/standin/platf/memory.go
+++ b/internal/standin/platf/memory.go
@@ -52,8 +52,9 @@
 	lastLeaseID int64
 	faults      Faults
 	calls       Calls
-	changed     chan struct{}
-	rnd         *rand.Rand
+	// changed is closed and replaced to wake the watches.
+	changed chan struct{}
+	rnd     *rand.Rand
 	// compactedRevision is the revision up to which the history is discarded.
 	compactedRevision int64
 }
