--- a/internal/core/audit/doc.go
+++ b/internal/core/audit/doc.go
@@ -1,2 +1,2 @@
-// Package audit defines the records of changes to resources and of decisions.
+// Package audit defines the audit records of resource changes and placement decisions.
 package audit
--- a/internal/core/audit/record.go
+++ b/internal/core/audit/record.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// Record says who changed what, when, and from which revision to which.
+// Record is an audit record of one change: who changed which key, when, and from which revision to which.
 type Record struct {
 	Time time.Time
-	// Actor is the operator's name or the node that decided.
+	// Actor is the name of the operator, or of the node that made the decision.
 	Actor string
 	// Action is Create, Update, Delete or the name of a decision.
 	Action string
 	Key    string
 	From   int64
 	To     int64
-	// Changes are the fields that differ.
+	// Changes are the changed fields.
 	Changes []Change `json:",omitempty"`
 }
 
-// Change is one field's old and new value as JSON text, empty if absent.
+// Change is the old and new value of one field as JSON text; empty if the field is absent.
 type Change struct {
 	Path string
 	Old  string
@@ -31,8 +31,8 @@
 // Diff returns the fields that differ between two JSON documents, sorted by path.
 func Diff(before, after []byte) []Change {
 	a, b := map[string]string{}, map[string]string{}
-	flatten("", decode(before), a)
-	flatten("", decode(after), b)
+	flattenLeaves("", decodeJSON(before), a)
+	flattenLeaves("", decodeJSON(after), b)
 	var out []Change
 	for path, v := range a {
 		if b[path] != v {
@@ -53,7 +53,7 @@
 	return out
 }
 
-func decode(doc []byte) any {
+func decodeJSON(doc []byte) any {
 	var v any
 	if json.Unmarshal(doc, &v) != nil {
 		return nil
@@ -61,17 +61,17 @@
 	return v
 }
 
-// flatten writes the leaves of a document under their paths.
-func flatten(path string, v any, out map[string]string) {
+// flattenLeaves writes the scalar values of a document into out as JSON text, keyed by path.
+func flattenLeaves(path string, v any, out map[string]string) {
 	switch t := v.(type) {
 	case nil:
 	case map[string]any:
 		for k, x := range t {
-			flatten(join(path, k), x, out)
+			flattenLeaves(joinPath(path, k), x, out)
 		}
 	case []any:
 		for i, x := range t {
-			flatten(fmt.Sprintf("%s[%d]", path, i), x, out)
+			flattenLeaves(fmt.Sprintf("%s[%d]", path, i), x, out)
 		}
 	default:
 		text, err := json.Marshal(t)
@@ -81,7 +81,7 @@
 	}
 }
 
-func join(path, name string) string {
+func joinPath(path, name string) string {
 	if path == "" {
 		return name
 	}
--- a/internal/core/fault/doc.go
+++ b/internal/core/fault/doc.go
@@ -1,2 +1,3 @@
-// Package fault defines the typed errors of the system: refusals, unknown outcomes, field errors and conflicts.
+// Package fault defines the error types that the system returns: refusals,
+// validation errors, revision conflicts and unavailable platform services.
 package fault
--- a/internal/core/fault/fault.go
+++ b/internal/core/fault/fault.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// Code says why a request was refused.
+// Code is the reason why a request was refused or failed.
 type Code string
 
-// The codes of refusals and failures that callers see.
+// The codes that answers to callers and errors between nodes carry.
 const (
 	BadRequest       Code = "BadRequest"
 	NotFound         Code = "NotFound"
@@ -31,23 +31,24 @@
 	Unsettled        Code = "Unsettled"
 )
 
-// Refusal is an honest "no": NotRun is true only if the request was certainly not executed.
+// Refusal is a refused or failed request. NotRun is true only if the request
+// is known not to have been executed.
 type Refusal struct {
 	Code    Code
 	Message string
 	NotRun  bool
-	// RetryAfter is when a new try may succeed; 0 if not known.
+	// RetryAfter is how long to wait before a retry may succeed; 0 if unknown.
 	RetryAfter time.Duration `json:",omitempty"`
-	// Endpoint is where the sender may try instead; empty if nowhere.
+	// Endpoint is the name of another endpoint that the sender may try; empty if there is none.
 	Endpoint string `json:",omitempty"`
 }
 
-// Error words the refusal.
+// Error returns the code, the message and whether the request is known not to have run.
 func (r *Refusal) Error() string {
 	return fmt.Sprintf("%s: %s (not run: %t)", r.Code, r.Message, r.NotRun)
 }
 
-// NotRun returns a refusal of a request that was certainly not executed.
+// NotRun returns a refusal of a request that is known not to have been executed.
 func NotRun(code Code, format string, args ...any) *Refusal {
 	return &Refusal{Code: code, Message: fmt.Sprintf(format, args...), NotRun: true}
 }
@@ -57,26 +58,26 @@
 	return &Refusal{Code: code, Message: fmt.Sprintf(format, args...)}
 }
 
-// WithRetryAfter returns the refusal with a time after which a new try may succeed.
+// WithRetryAfter returns a copy of the refusal whose RetryAfter is d.
 func (r Refusal) WithRetryAfter(d time.Duration) *Refusal {
 	r.RetryAfter = d
 	return &r
 }
 
-// WithEndpoint returns the refusal with another endpoint to try.
+// WithEndpoint returns a copy of the refusal that names another endpoint to try.
 func (r Refusal) WithEndpoint(name string) *Refusal {
 	r.Endpoint = name
 	return &r
 }
 
-// Field is a value that breaks a rule.
+// Field reports a field whose value violates a validation rule.
 type Field struct {
 	Path  string
 	Value string
 	Rule  string
 }
 
-// Error names the field, its value and the rule.
+// Error returns the path of the field, its value if there is one, and the rule.
 func (f *Field) Error() string {
 	if f.Value == "" {
 		return fmt.Sprintf("field %s %s", f.Path, f.Rule)
@@ -84,12 +85,12 @@
 	return fmt.Sprintf("field %s: value %q %s", f.Path, f.Value, f.Rule)
 }
 
-// Fields is a list of breached fields.
+// Fields reports all invalid fields of one document.
 type Fields struct {
 	List []Field
 }
 
-// Error names each field.
+// Error returns the errors of all fields, separated by semicolons.
 func (f *Fields) Error() string {
 	var parts []string
 	for i := range f.List {
@@ -98,52 +99,53 @@
 	return strings.Join(parts, "; ")
 }
 
-// Conflict reports a write that expected another revision.
+// Conflict reports a conditional write whose expected revision is not the key's current one.
 type Conflict struct {
 	Key      string
 	Expected int64
 	Actual   int64
 }
 
-// Error names both revisions.
+// Error returns the key, its actual revision and the expected one.
 func (c *Conflict) Error() string {
 	return fmt.Sprintf("%s is at revision %d, the change expected revision %d", c.Key, c.Actual, c.Expected)
 }
 
-// Missing reports a resource that does not exist.
+// Missing reports a key that does not exist.
 type Missing struct {
 	Key string
 }
 
-// Error names the resource.
+// Error returns the key that does not exist.
 func (m *Missing) Error() string {
 	return fmt.Sprintf("%s does not exist", m.Key)
 }
 
-// Away reports a platform part that does not answer.
+// Away reports a service that the process depends on and that does not answer, such as the store or an engine.
 type Away struct {
 	Part string
 	Err  error
-	// Unsettled is true if a write may have taken effect.
+	// Unsettled is true if the failed call is a write that may have taken effect.
 	Unsettled bool
 }
 
-// Error names the part and the cause.
+// Error returns the name of the service and the cause.
 func (a *Away) Error() string {
 	return fmt.Sprintf("%s does not answer: %v", a.Part, a.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the error of the failed call.
 func (a *Away) Unwrap() error {
 	return a.Err
 }
 
-// As is errors.As, so that packages which wrap errors need one import.
+// As calls errors.As, so that packages that inspect these errors need no second import.
 func As(err error, target any) bool {
 	return errors.As(err, target)
 }
 
-// Of returns the refusal inside err, or wraps err as a failure whose execution is not excluded.
+// Of returns the Refusal that err wraps. Any other error becomes EngineFailed with
+// NotRun false, because the request may have been executed.
 func Of(err error) *Refusal {
 	var r *Refusal
 	if errors.As(err, &r) {
--- a/internal/core/kinds/check.go
+++ b/internal/core/kinds/check.go
@@ -26,7 +26,7 @@
 	return v
 })
 
-// Check returns a *fault.Fields that names each field of the resource that breaks a rule, or nil.
+// Check returns a *fault.Fields with every invalid field of the resource, or nil if it is valid.
 func Check(r Resource) error {
 	var list []fault.Field
 	if !namePattern.MatchString(r.Name) {
@@ -39,38 +39,40 @@
 	return &fault.Fields{List: list}
 }
 
-// CheckStruct applies the validate tags of a struct and returns the breaches with paths below prefix.
+// CheckStruct validates a struct by its validate tags and returns the invalid
+// fields. Their paths begin with prefix unless it is empty.
 func CheckStruct(prefix string, v any) []fault.Field {
 	err := validate().Struct(v)
 	if err == nil {
 		return nil
 	}
-	var breaches validator.ValidationErrors
-	if !errors.As(err, &breaches) {
+	var violations validator.ValidationErrors
+	if !errors.As(err, &violations) {
 		return []fault.Field{{Path: prefix, Value: "", Rule: err.Error()}}
 	}
 	var list []fault.Field
-	for _, b := range breaches {
+	for _, b := range violations {
 		_, path, _ := strings.Cut(b.StructNamespace(), ".")
 		if prefix != "" {
 			path = prefix + "." + path
 		}
-		list = append(list, fault.Field{Path: path, Value: valueOf(b), Rule: rule(b)})
+		list = append(list, fault.Field{Path: path, Value: violatingValue(b), Rule: ruleText(b)})
 	}
 	return list
 }
 
-// valueOf words a breaching value; a structure has no short words.
-func valueOf(b validator.FieldError) string {
+// violatingValue formats the invalid value; it returns "" for structs and pointers,
+// which have no short form.
+func violatingValue(b validator.FieldError) string {
 	if b.Kind() == reflect.Pointer || b.Kind() == reflect.Struct {
 		return ""
 	}
 	return fmt.Sprint(b.Value())
 }
 
-// rule words a breached validate tag.
-func rule(b validator.FieldError) string {
-	words := map[string]string{
+// ruleText describes the violated validate tag.
+func ruleText(b validator.FieldError) string {
+	ruleTexts := map[string]string{
 		"required": "is required", "gt": "must be greater than " + b.Param(), "gte": "must be at least " + b.Param(),
 		"lte": "must be at most " + b.Param(), "max": "must be at most " + b.Param() + " long", "min": "must have at least " + b.Param(),
 		"ltefield": "must not exceed " + b.Param(), "oneof": "must be one of " + b.Param(),
@@ -78,8 +80,8 @@
 		"hostname_port": "must be host:port", "url": "must be a URL",
 		"required_without": "is required where " + b.Param() + " is not set", "excluded_with": "must not be set together with " + b.Param(),
 	}
-	if w, ok := words[b.Tag()]; ok {
-		return w
+	if text, ok := ruleTexts[b.Tag()]; ok {
+		return text
 	}
 	return "breaks the rule " + b.Tag()
 }
--- a/internal/core/kinds/class.go
+++ b/internal/core/kinds/class.go
@@ -2,17 +2,17 @@
 
 import "fmt"
 
-// Class orders requests by how soon their caller needs the answer.
+// Class is the priority class of a request, given by how soon the caller needs the answer.
 type Class string
 
-// The classes, most pressing first.
+// The priority classes, highest priority first.
 const (
 	Urgent      Class = "urgent"
 	Interactive Class = "interactive"
 	Patient     Class = "patient"
 )
 
-// ParseClass reads a class name; the empty name is Interactive.
+// ParseClass returns the class of a name; an empty name stands for Interactive.
 func ParseClass(s string) (Class, error) {
 	switch c := Class(s); c {
 	case "":
@@ -23,7 +23,7 @@
 	return "", fmt.Errorf("class %q is none of urgent, interactive, patient", s)
 }
 
-// Rank returns 0 for the most pressing class and larger numbers for the others.
+// Rank returns the sort order of the class: 0 for the highest priority, larger for lower ones.
 func (c Class) Rank() int {
 	switch c {
 	case Urgent:
--- a/internal/core/kinds/doc.go
+++ b/internal/core/kinds/doc.go
@@ -1,2 +1,2 @@
-// Package kinds defines the resources that operators declare and the rules a valid one keeps.
+// Package kinds defines the resources that operators declare and validates them.
 package kinds
--- a/internal/core/kinds/duration.go
+++ b/internal/core/kinds/duration.go
@@ -10,12 +10,12 @@
 // Duration is a time.Duration written as text such as "90s" in YAML and JSON.
 type Duration time.Duration
 
-// MarshalText writes the duration in Go's duration format.
+// MarshalText returns the duration in the format of time.Duration.String.
 func (d Duration) MarshalText() ([]byte, error) {
 	return []byte(time.Duration(d).String()), nil
 }
 
-// UnmarshalText reads a duration in Go's duration format.
+// UnmarshalText parses a duration in the format of time.ParseDuration.
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	if err != nil {
@@ -25,7 +25,7 @@
 	return nil
 }
 
-// UnmarshalYAML reads a duration and names the line of one that is wrong.
+// UnmarshalYAML parses a duration; its errors include the line number, which conf needs to locate the field.
 func (d *Duration) UnmarshalYAML(node *yaml.Node) error {
 	if err := d.UnmarshalText([]byte(node.Value)); err != nil {
 		return fmt.Errorf("line %d: %w", node.Line, err)
--- a/internal/core/kinds/fuzz_test.go
+++ b/internal/core/kinds/fuzz_test.go
@@ -9,7 +9,7 @@
 	"foxtailcroft/internal/core/fault"
 )
 
-// FuzzResource checks that a document is refused with a field error or survives a round trip.
+// FuzzResource checks that every document is either rejected or encodes to the same JSON after a round trip.
 func FuzzResource(f *testing.F) {
 	for _, doc := range []string{
 		`{"Kind":"Model","Name":"m","Spec":{"Version":"1","MemoryBytes":1,"MaxReplicas":1,"ColdStart":"5s"}}`,
@@ -28,22 +28,22 @@
 		if Check(r) != nil {
 			return
 		}
-		again, err := json.Marshal(r)
+		encoded, err := json.Marshal(r)
 		if err != nil {
 			t.Fatal(err)
 		}
-		var back Resource
-		if err := json.Unmarshal(again, &back); err != nil {
-			t.Fatalf("%s does not read back: %v", again, err)
+		var decoded Resource
+		if err := json.Unmarshal(encoded, &decoded); err != nil {
+			t.Fatalf("decoding the encoded resource %s failed: %v", encoded, err)
 		}
-		third, err := json.Marshal(back)
-		if err != nil || string(third) != string(again) {
-			t.Fatalf("%s became %s (%v)", again, third, err)
+		reencoded, err := json.Marshal(decoded)
+		if err != nil || string(reencoded) != string(encoded) {
+			t.Fatalf("a round trip changed %s to %s (%v)", encoded, reencoded, err)
 		}
 	})
 }
 
-func TestWrongFieldsAreNamed(t *testing.T) {
+func TestErrorNamesInvalidField(t *testing.T) {
 	cases := []struct {
 		doc, path string
 	}{
@@ -64,14 +64,14 @@
 			if err == nil {
 				err = Check(r)
 			}
-			var one *fault.Field
-			var many *fault.Fields
-			if fault.As(err, &many) {
-				one = &many.List[0]
+			var fieldErr *fault.Field
+			var fieldErrs *fault.Fields
+			if fault.As(err, &fieldErrs) {
+				fieldErr = &fieldErrs.List[0]
 			} else {
-				g.Expect(fault.As(err, &one)).To(BeTrue(), "%v", err)
+				g.Expect(fault.As(err, &fieldErr)).To(BeTrue(), "%v", err)
 			}
-			g.Expect(one.Path).To(Equal(c.path))
+			g.Expect(fieldErr.Path).To(Equal(c.path))
 		})
 	}
 }
--- a/internal/core/kinds/resource.go
+++ b/internal/core/kinds/resource.go
@@ -9,10 +9,10 @@
 	"foxtailcroft/internal/core/fault"
 )
 
-// Kind names a sort of resource.
+// Kind is the type of a resource.
 type Kind string
 
-// The kinds that operators declare.
+// The kinds of resources that operators declare.
 const (
 	Model   Kind = "Model"
 	Adapter Kind = "Adapter"
@@ -20,12 +20,13 @@
 	Policy  Kind = "Policy"
 )
 
-// All returns the kinds in the order in which one file applies them.
+// All returns the kinds in the order in which resources of one file are applied:
+// a kind comes after those that it refers to.
 func All() []Kind {
 	return []Kind{Policy, Model, Adapter, Service}
 }
 
-// Parse returns the kind of that name, in any letter case.
+// Parse returns the kind with the name, ignoring case, or a *fault.Field error.
 func Parse(name string) (Kind, error) {
 	for _, k := range All() {
 		if strings.EqualFold(string(k), name) {
@@ -35,18 +36,18 @@
 	return "", &fault.Field{Path: "Kind", Value: name, Rule: "must be one of Model, Adapter, Service, Policy"}
 }
 
-// Key returns the configuration key of a resource.
+// Key returns the configuration key of the resource of a kind and name.
 func Key(kind Kind, name string) string {
 	return string(kind) + "/" + name
 }
 
-// Resource is one declared resource; exactly the spec that its Kind names is set.
+// Resource is one declared resource. Of the spec fields, only the one that Kind names is set.
 type Resource struct {
 	Kind Kind
 	Name string
-	// Generation counts the accepted changes of Spec, from 1.
+	// Generation counts the accepted changes of the spec, starting at 1.
 	Generation int64
-	// Revision is the store's revision of the last accepted change; it is not part of the stored value.
+	// Revision is the store revision of the last accepted change; the stored value omits it.
 	Revision int64
 	Model    *ModelSpec   `json:",omitempty"`
 	Adapter  *AdapterSpec `json:",omitempty"`
@@ -62,7 +63,7 @@
 	Spec       json.RawMessage `json:",omitempty"`
 }
 
-// Spec returns a pointer to the spec of the resource's kind.
+// Spec returns a pointer to the spec that the resource's kind selects, or nil for an unknown kind.
 func (r Resource) Spec() any {
 	switch r.Kind {
 	case Model:
@@ -82,19 +83,19 @@
 	return Key(r.Kind, r.Name)
 }
 
-// WithGeneration returns the resource at another generation.
+// WithGeneration returns a copy of the resource with the generation g.
 func (r Resource) WithGeneration(g int64) Resource {
 	r.Generation = g
 	return r
 }
 
-// WithRevision returns the resource at another revision.
+// WithRevision returns a copy of the resource with the revision rev.
 func (r Resource) WithRevision(rev int64) Resource {
 	r.Revision = rev
 	return r
 }
 
-// MarshalJSON writes Kind, Name, Generation, Revision and Spec.
+// MarshalJSON encodes Kind, Name, Generation, Revision and Spec as one object.
 func (r Resource) MarshalJSON() ([]byte, error) {
 	spec, err := json.Marshal(r.Spec())
 	if err != nil {
@@ -103,27 +104,27 @@
 	return json.Marshal(envelope{r.Kind, r.Name, r.Generation, r.Revision, spec})
 }
 
-// UnmarshalJSON reads what MarshalJSON writes and refuses unknown fields.
+// UnmarshalJSON decodes the output of MarshalJSON; an unknown field is an error.
 func (r *Resource) UnmarshalJSON(data []byte) error {
 	var e envelope
 	if err := strictJSON(data, &e, ""); err != nil {
 		return err
 	}
-	out, err := Empty(e.Kind, e.Name)
+	decoded, err := Empty(e.Kind, e.Name)
 	if err != nil {
 		return err
 	}
-	out.Generation, out.Revision = e.Generation, e.Revision
+	decoded.Generation, decoded.Revision = e.Generation, e.Revision
 	if len(e.Spec) > 0 {
-		if err := strictJSON(e.Spec, out.Spec(), "Spec."); err != nil {
+		if err := strictJSON(e.Spec, decoded.Spec(), "Spec."); err != nil {
 			return err
 		}
 	}
-	*r = out
+	*r = decoded
 	return nil
 }
 
-// Empty returns a resource of the kind with a zero spec.
+// Empty returns a resource of the kind with a zero spec, or a *fault.Field error for an unknown kind.
 func Empty(kind Kind, name string) (Resource, error) {
 	r := Resource{Kind: kind, Name: name}
 	switch kind {
@@ -145,7 +146,8 @@
 	return r, nil
 }
 
-// strictJSON decodes data into out and turns decoder errors into field errors below prefix.
+// strictJSON decodes data into out, rejecting unknown fields and trailing data.
+// It returns errors as *fault.Field with paths that begin with prefix.
 func strictJSON(data []byte, out any, prefix string) error {
 	dec := json.NewDecoder(bytes.NewReader(data))
 	dec.DisallowUnknownFields()
@@ -160,13 +162,13 @@
 	if fault.As(err, &nested) {
 		return nested
 	}
-	var wrong *json.UnmarshalTypeError
-	if fault.As(err, &wrong) {
-		return &fault.Field{Path: prefix + wrong.Field, Value: wrong.Value, Rule: fmt.Sprintf("must be %s", wrong.Type)}
+	var typeErr *json.UnmarshalTypeError
+	if fault.As(err, &typeErr) {
+		return &fault.Field{Path: prefix + typeErr.Field, Value: typeErr.Value, Rule: fmt.Sprintf("must be %s", typeErr.Type)}
 	}
-	const unknown = "json: unknown field "
-	if text := err.Error(); strings.HasPrefix(text, unknown) {
-		name := strings.Trim(strings.TrimPrefix(text, unknown), `"`)
+	const unknownFieldPrefix = "json: unknown field "
+	if text := err.Error(); strings.HasPrefix(text, unknownFieldPrefix) {
+		name := strings.Trim(strings.TrimPrefix(text, unknownFieldPrefix), `"`)
 		return &fault.Field{Path: prefix + name, Value: "", Rule: "is not a known field"}
 	}
 	return &fault.Field{Path: strings.TrimSuffix(prefix, "."), Value: "", Rule: "is not valid JSON: " + err.Error()}
--- a/internal/core/kinds/specs.go
+++ b/internal/core/kinds/specs.go
@@ -1,72 +1,72 @@
 package kinds
 
-// ModelSpec declares a model that is to be servable.
+// ModelSpec declares a model to serve.
 type ModelSpec struct {
-	// Version names the checkpoint; a new version is loaded before the old one is given up.
+	// Version names the checkpoint. A new version is loaded before the old one is unloaded.
 	Version string `yaml:"Version" validate:"required,max=128"`
-	// MemoryBytes is what one loaded replica takes of an endpoint's accelerators.
+	// MemoryBytes is the accelerator memory that one loaded replica uses.
 	MemoryBytes int64 `yaml:"MemoryBytes" validate:"gt=0"`
-	// MinReplicas are loaded whether or not anybody asks for them.
+	// MinReplicas is the number of replicas that stay loaded without any requests.
 	MinReplicas int `yaml:"MinReplicas" validate:"gte=0,ltefield=MaxReplicas"`
-	// MaxReplicas bounds the decided slots, dormant or loaded.
+	// MaxReplicas bounds the slots in the plan, whether or not their replicas are loaded.
 	MaxReplicas int `yaml:"MaxReplicas" validate:"gte=1,lte=64"`
-	// Concurrency is how many requests one replica runs at once; 0 stands for DefaultConcurrency.
+	// Concurrency bounds the concurrent requests of one replica; 0 means DefaultConcurrency.
 	Concurrency int `yaml:"Concurrency" validate:"gte=0,lte=4096"`
-	// ColdStart is the expected time of a load while none was observed.
+	// ColdStart is the expected load time until a load has been observed.
 	ColdStart Duration `yaml:"ColdStart" validate:"gte=0"`
-	// Domains restricts the failure domains; empty allows all.
+	// Domains lists the failure domains that replicas may be placed in; empty allows all.
 	Domains []string `yaml:"Domains" validate:"dive,required"`
-	// Policy names the Policy in force; empty stands for DefaultPolicy.
+	// Policy names the Policy resource that applies; empty means DefaultPolicy.
 	Policy string `yaml:"Policy" validate:"omitempty,resourcename"`
 }
 
-// AdapterSpec declares an adapter, which loads onto replicas of its base model.
+// AdapterSpec declares an adapter, which is loaded onto replicas of its base model.
 type AdapterSpec struct {
 	// Model names the base model.
 	Model string `yaml:"Model" validate:"required,resourcename"`
-	// Version names the adapter's weights.
+	// Version names the version of the adapter's weights.
 	Version string `yaml:"Version" validate:"required,max=128"`
-	// MemoryBytes is what the loaded adapter takes beside its base model.
+	// MemoryBytes is the accelerator memory that the adapter uses in addition to its base model.
 	MemoryBytes int64 `yaml:"MemoryBytes" validate:"gt=0"`
 }
 
 // ServiceSpec declares a plain service, reached at /services/{Name}/.
 type ServiceSpec struct {
-	// IdempotentMethods are the HTTP methods whose calls may be repeated; empty stands for GET, HEAD, OPTIONS.
+	// IdempotentMethods are the HTTP methods whose calls may be retried; empty means GET, HEAD and OPTIONS.
 	IdempotentMethods []string `yaml:"IdempotentMethods" validate:"dive,oneof=GET HEAD OPTIONS PUT DELETE POST PATCH"`
-	// ClaimPartitions is the number of claim logs that idempotency keys are spread over.
+	// ClaimPartitions is the number of claim logs that idempotency keys are partitioned over; 0 means 1.
 	ClaimPartitions int `yaml:"ClaimPartitions" validate:"gte=0,lte=256"`
-	// ClaimRetention is how long an idempotency key is remembered.
+	// ClaimRetention is how long an idempotency key is kept.
 	ClaimRetention Duration `yaml:"ClaimRetention" validate:"gte=0"`
-	// Concurrency is how many calls one endpoint runs at once; 0 stands for DefaultConcurrency.
+	// Concurrency bounds the concurrent calls of one endpoint; 0 means DefaultConcurrency.
 	Concurrency int `yaml:"Concurrency" validate:"gte=0,lte=4096"`
 }
 
-// PolicySpec sets the trade between cold starts and idle accelerators.
+// PolicySpec sets how much idle accelerator time is spent to avoid cold starts.
 type PolicySpec struct {
-	// ColdStartPrice is how many idle accelerator seconds one second of a caller's cold-start wait is worth.
+	// ColdStartPrice is the cost of one second of a caller's cold-start wait, in seconds of idle accelerator time.
 	ColdStartPrice float64 `yaml:"ColdStartPrice" validate:"gt=0,lte=1000000"`
-	// MaxKeepAlive bounds how long an idle replica stays loaded; 0 stands for DefaultMaxKeepAlive.
+	// MaxKeepAlive bounds how long an idle replica stays loaded; 0 means DefaultMaxKeepAlive.
 	MaxKeepAlive Duration `yaml:"MaxKeepAlive" validate:"gte=0"`
 }
 
-// DefaultConcurrency is how many requests a replica or plain endpoint runs at once.
+// DefaultConcurrency bounds the concurrent requests of a replica or plain endpoint whose spec sets no bound.
 const DefaultConcurrency = 32
 
-// DefaultPolicy is the Policy that models without one use.
+// DefaultPolicy is the name of the Policy that applies to models that name none.
 const DefaultPolicy = "default"
 
-// Slots returns how many requests a replica of the model runs at once.
+// Slots returns the bound on concurrent requests of one replica.
 func (s ModelSpec) Slots() int {
-	return orDefault(s.Concurrency)
+	return concurrencyOrDefault(s.Concurrency)
 }
 
-// Slots returns how many calls an endpoint of the service runs at once.
+// Slots returns the bound on concurrent calls of one endpoint.
 func (s ServiceSpec) Slots() int {
-	return orDefault(s.Concurrency)
+	return concurrencyOrDefault(s.Concurrency)
 }
 
-// Idempotent reports whether calls with the method may be repeated.
+// Idempotent reports whether calls with the HTTP method may be retried.
 func (s ServiceSpec) Idempotent(method string) bool {
 	methods := s.IdempotentMethods
 	if len(methods) == 0 {
@@ -85,7 +85,7 @@
 	return max(1, s.ClaimPartitions)
 }
 
-func orDefault(n int) int {
+func concurrencyOrDefault(n int) int {
 	if n == 0 {
 		return DefaultConcurrency
 	}
--- a/internal/core/plan/doc.go
+++ b/internal/core/plan/doc.go
@@ -1,2 +1,3 @@
-// Package plan defines decisions: the slots in which replicas may be loaded and the owners of claim partitions.
+// Package plan defines placement decisions: the endpoints that may load replicas
+// of a model and the endpoints that own claim partitions.
 package plan
--- a/internal/core/plan/node.go
+++ b/internal/core/plan/node.go
@@ -1,25 +1,26 @@
 package plan
 
-// Role names what a process does.
+// Role is the role of a process: entry or agent.
 type Role string
 
-// The roles of processes.
+// The roles of processes: entries accept requests from callers, agents run them on one endpoint.
 const (
 	Entry Role = "entry"
 	Agent Role = "agent"
 )
 
-// Back names what stands behind an agent.
+// Back is the type of endpoint that an agent serves.
 type Back string
 
-// The sorts of endpoint.
+// The types of endpoint: a model engine or a plain service.
 const (
 	EngineBack  Back = "engine"
 	ServiceBack Back = "service"
 )
 
-// Node is what a process declares of itself once at its start. Epoch grows
-// with each process that takes the name, and orders to an engine carry it.
+// Node is the declaration that a process writes of itself once at its start. Epoch
+// increases with each process that registers under the name; orders to an engine
+// carry it as their fencing token.
 type Node struct {
 	Name    string
 	Role    Role
@@ -29,9 +30,9 @@
 	Epoch   int64
 	// Back is set for agents only.
 	Back Back `json:",omitempty"`
-	// Service is the plain service behind the agent.
+	// Service is the name of the agent's plain service; empty for an engine.
 	Service string `json:",omitempty"`
-	// MemoryBytes is the endpoint's accelerator memory.
+	// MemoryBytes is the accelerator memory of the endpoint; 0 for a plain service.
 	MemoryBytes int64 `json:",omitempty"`
 }
 
--- a/internal/core/plan/plan.go
+++ b/internal/core/plan/plan.go
@@ -11,30 +11,30 @@
 
 // The states of a slot.
 const (
-	// Active slots may be woken by their endpoint's agent at any time.
+	// Active allows the endpoint's agent to load the replica at any time.
 	Active State = "Active"
-	// Releasing slots may not be woken; they count as loaded until the agent has confirmed the release.
+	// Releasing forbids loading; the slot counts as loaded until the agent has confirmed the release.
 	Releasing State = "Releasing"
 )
 
-// Slot is one decided replica. A slot leaves the plan only after its
-// endpoint's agent has confirmed the release or the platform's list has
-// dropped the endpoint, so loaded replicas never pass the number of slots.
+// Slot is the placement of one replica on an endpoint. It is removed from the plan
+// only after the endpoint's agent has confirmed the release or the platform's list
+// no longer has the endpoint, so that there are never more loaded replicas than slots.
 type Slot struct {
-	// Number identifies the slot within its plan and is never used again.
+	// Number identifies the slot within its plan and is never reused.
 	Number   int64
 	Endpoint string
 	Domain   string
 	State    State
 }
 
-// Plan is the decision for one model, or for the claim partitions of one service.
+// Plan is the placement of one model's replicas, or of one service's claim partitions.
 type Plan struct {
 	// Target is the model's name, or the service's name for claim partitions.
 	Target string
-	// Slots are in order of preference: requests go to the first that serves.
+	// Slots are in order of preference: a request goes to the first one that can serve it.
 	Slots []Slot
-	// NextNumber is the number of the next slot.
+	// NextNumber is the Number that the next new slot gets.
 	NextNumber int64
 }
 
@@ -48,7 +48,7 @@
 	return "Claims/" + service
 }
 
-// At returns the slot at the endpoint, if there is one.
+// At returns the plan's slot on the endpoint and whether there is one.
 func (p Plan) At(endpoint string) (Slot, bool) {
 	for _, s := range p.Slots {
 		if s.Endpoint == endpoint {
@@ -58,7 +58,7 @@
 	return Slot{}, false
 }
 
-// Active returns the slots that may be woken.
+// Active returns the slots whose replicas may be loaded.
 func (p Plan) Active() []Slot {
 	var out []Slot
 	for _, s := range p.Slots {
@@ -69,14 +69,14 @@
 	return out
 }
 
-// WithSlot returns the plan with one more active slot at its end.
+// WithSlot returns a copy of the plan with an active slot on the endpoint appended.
 func (p Plan) WithSlot(endpoint, domain string) Plan {
 	p.Slots = append(slices.Clone(p.Slots), Slot{Number: p.NextNumber, Endpoint: endpoint, Domain: domain, State: Active})
 	p.NextNumber++
 	return p
 }
 
-// WithState returns the plan with the numbered slot in another state.
+// WithState returns a copy of the plan with the numbered slot in the state.
 func (p Plan) WithState(number int64, state State) Plan {
 	p.Slots = slices.Clone(p.Slots)
 	for i := range p.Slots {
@@ -87,7 +87,7 @@
 	return p
 }
 
-// WithOwner returns the plan with slot i given to another endpoint under a new number.
+// WithOwner returns a copy of the plan with slot i moved to another endpoint under a new number.
 func (p Plan) WithOwner(i int, endpoint, domain string) Plan {
 	p.Slots = slices.Clone(p.Slots)
 	p.Slots[i] = Slot{Number: p.NextNumber, Endpoint: endpoint, Domain: domain, State: Active}
@@ -95,13 +95,13 @@
 	return p
 }
 
-// Without returns the plan without the numbered slot.
+// Without returns a copy of the plan without the numbered slot.
 func (p Plan) Without(number int64) Plan {
 	p.Slots = slices.DeleteFunc(slices.Clone(p.Slots), func(s Slot) bool { return s.Number == number })
 	return p
 }
 
-// String lists the slots for logs and audit records.
+// String returns the slots as Number@Endpoint:State, for logs and audit records.
 func (p Plan) String() string {
 	var parts []string
 	for _, s := range p.Slots {
--- a/internal/core/site/doc.go
+++ b/internal/core/site/doc.go
@@ -1,3 +1,3 @@
-// Package site holds what operators declare for a whole deployment — routes,
-// services, engines and models — and the instances that serve it.
+// Package site defines the configuration of a whole deployment (routes, services,
+// engines and models) and the state of the instances that serve it.
 package site
--- a/internal/core/site/document.go
+++ b/internal/core/site/document.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Kind says what may be repeated of a route's requests.
+// Kind says whether a route's requests may be retried.
 type Kind string
 
 // The kinds of routes.
@@ -14,17 +14,17 @@
 	Safe Kind = "safe"
 	// Unsafe requests run at most once.
 	Unsafe Kind = "unsafe"
-	// Streaming requests are unsafe too, unless the route is resumable.
+	// Streaming requests run at most once unless the route is resumable.
 	Streaming Kind = "streaming"
 )
 
-// Share is the part of a route's requests that goes to a service.
+// Share is the weight by which a route sends requests to a service.
 type Share struct {
 	Service string
 	Weight  float64
 }
 
-// Route sends the requests of a host below a path prefix to services.
+// Route sends requests for a host and path prefix to services.
 type Route struct {
 	Name     string
 	Host     string
@@ -35,25 +35,27 @@
 	MaxGap   time.Duration
 	Rank     int
 	Attempts int
-	// Sticky routes name the parts of their prompts.
+	// Sticky is true if requests of the route name the shared parts of their prompts, so that
+	// they can be sent to an instance that has them cached.
 	Sticky    bool
 	Resumable bool
 	Shares    []Share
 }
 
-// Repeatable reports whether a request may be sent again after a send of which the outcome is unknown.
+// Repeatable reports whether a request may be retried after an attempt with an unknown outcome.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Safe || r.Kind == Streaming && r.Resumable
 }
 
-// Model is one servable model of an engine.
+// Model is a model that an engine can load.
 type Model struct {
 	Name     string
 	SizeMB   float64
 	Adapters int
-	// AdapterMB is the size of each of its adapters.
+	// AdapterMB is the size of one adapter.
 	AdapterMB float64
-	// FromStore, FromDisk and FromMemory are load times by where the weights are.
+	// FromStore, FromDisk and FromMemory are the load times from the weight store, a server's
+	// disk and its main memory.
 	FromStore  time.Duration
 	FromDisk   time.Duration
 	FromMemory time.Duration
@@ -62,17 +64,17 @@
 // Engine describes the model servers of a service.
 type Engine struct {
 	Slots int
-	// CacheTokens is the memory of one server for running requests and cached prompts.
+	// CacheTokens is the capacity of one server's key-value cache for running requests and cached prompts.
 	CacheTokens int
-	// WeightsMB is the memory of one server for models and adapters.
+	// WeightsMB is the memory of one server for the weights of models and adapters.
 	WeightsMB     float64
 	AdapterPlaces int
-	// LoadsPerSecond is the rate of loads that the weight store allows over all servers.
+	// LoadsPerSecond bounds the rate of loads from the weight store over all servers.
 	LoadsPerSecond float64
 	Models         []Model
 }
 
-// Model returns the engine's model of a name, or nil.
+// Model returns the engine's model with the name, or nil if there is none.
 func (e *Engine) Model(name string) *Model {
 	for i := range e.Models {
 		if e.Models[i].Name == name {
@@ -82,7 +84,7 @@
 	return nil
 }
 
-// Service is a set of equal instances; Engine is nil for plain services.
+// Service is a set of interchangeable instances; Engine is nil for plain services.
 type Service struct {
 	Name       string
 	HealthPath string
@@ -90,7 +92,7 @@
 	Engine     *Engine
 }
 
-// Limits bound what callers may send and how long they may take.
+// Limits bounds the size of callers' requests and the time to send them.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -98,7 +100,7 @@
 	IdleTimeout   time.Duration
 }
 
-// Document is one version of the operator's configuration.
+// Document is one version of the operator's configuration of the deployment.
 type Document struct {
 	Version  int64
 	Routes   []Route
@@ -106,7 +108,7 @@
 	Limits   Limits
 }
 
-// Route returns the route of a host with the longest prefix that begins the path, or nil.
+// Route returns the host's route with the longest prefix of the path, or nil if none matches.
 func (d *Document) Route(host, path string) *Route {
 	var best *Route
 	for i := range d.Routes {
@@ -118,16 +120,17 @@
 	return best
 }
 
-// Pick returns the service for a request by a hash of its id, in proportion to the weights.
+// Pick returns the service for a request, chosen by the hash of its ID in proportion to
+// the weights; "" if the route has no shares.
 func (r *Route) Pick(hash uint64) string {
 	total := 0.0
 	for _, s := range r.Shares {
 		total += max(0, s.Weight)
 	}
-	const steps = 1 << 20
-	at := float64(hash%steps) / steps * total
+	const buckets = 1 << 20
+	remaining := float64(hash%buckets) / buckets * total
 	for _, s := range r.Shares {
-		if at -= max(0, s.Weight); at < 0 {
+		if remaining -= max(0, s.Weight); remaining < 0 {
 			return s.Service
 		}
 	}
--- a/internal/core/site/instance.go
+++ b/internal/core/site/instance.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Key identifies one incarnation of an instance; a restart under the same id has another key.
+// Key identifies one incarnation of an instance: a restart keeps the ID and changes Born.
 type Key struct {
 	ID   string
 	Born int64
 }
 
-// Instance is a back end as it describes itself.
+// Instance is a server of a service, as its announcement in the store describes it.
 type Instance struct {
 	Key
 	Service string
@@ -16,21 +16,21 @@
 	Domain  string
 	Slots   int
 	Leaving bool
-	// ColdFor is how long the instance stays slow after its start.
+	// ColdFor is how much longer the instance is slow because it has just started; 0 if it is warm.
 	ColdFor time.Duration
-	// Models are the models that the instance has loaded; adapters are not announced.
+	// Models are the loaded models; loaded adapters are not announced.
 	Models []string
 	// Seen is the store revision of the announcement.
 	Seen int64
 }
 
-// Adapter names an adapter of a model; an empty Name means the bare model.
+// Adapter identifies an adapter of a model; an empty Name means the model without an adapter.
 type Adapter struct {
 	Model string
 	Name  string
 }
 
-// Report is a model server's state on request; it lags by some hundred milliseconds.
+// Report is the state that a model server reports when queried; it lags by some hundred milliseconds.
 type Report struct {
 	Born     int64
 	Sequence int64
@@ -51,14 +51,15 @@
 	Target Adapter
 	Holder string
 	Fence  int64
-	// Sequence is the number of orders that the server must have accepted before.
+	// Sequence is the number of orders that the server must have accepted so far; otherwise it rejects the order.
 	Sequence int64
 }
 
-// Outcome is how a server answered an order.
+// Outcome is a model server's answer to an order.
 type Outcome string
 
-// The outcomes of an order.
+// The outcomes of an order. Moved means that another instance answered at the address;
+// Unknown means that the order may have been carried out.
 const (
 	Accepted Outcome = "accepted"
 	Holds    Outcome = "holds already"
--- a/internal/core/site/request.go
+++ b/internal/core/site/request.go
@@ -2,26 +2,27 @@
 
 import "time"
 
-// Part is a piece of a prompt that requests share.
+// Part is a piece of a prompt that several requests have in common.
 type Part struct {
 	ID     string
 	Tokens int
 }
 
-// Request is what a caller's headers say of its request.
+// Request holds what the headers of a caller's request declare.
 type Request struct {
 	ID string
-	// Patience is how long the caller waits; 0 if it does not say.
+	// Patience is how long the caller waits for the answer; 0 if not declared.
 	Patience time.Duration
 	Target   Adapter
-	// PromptTokens and MaxTokens are the sizes of prompt and answer; 0 if not given.
+	// PromptTokens is the length of the prompt and MaxTokens the maximum length of the answer,
+	// in tokens; 0 if not declared.
 	PromptTokens int
 	MaxTokens    int
 	Parts        []Part
 	LastEvent    string
 }
 
-// Load is the load that a server reports in an answer.
+// Load is the request load that a server reports with an answer.
 type Load struct {
 	Running int
 	Waiting int
--- a/internal/core/view/doc.go
+++ b/internal/core/view/doc.go
@@ -1,2 +1,2 @@
-// Package view holds a node's copy of the configuration, which only ever moves to newer revisions.
+// Package view keeps a node's copy of the configuration; updates never take it back to an older revision.
 package view
--- a/internal/core/view/holder.go
+++ b/internal/core/view/holder.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 )
 
-// Holder is the place where a node keeps its newest View.
+// Holder holds the newest View of a node and notifies waiters when it changes.
 type Holder struct {
 	current atomic.Pointer[View]
 	mu      sync.Mutex
@@ -25,7 +25,7 @@
 	return h.current.Load()
 }
 
-// Apply moves to the view after the delta and reports whether anything was newer.
+// Apply applies the delta to the view and reports whether it contained anything newer.
 func (h *Holder) Apply(d Delta) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -40,14 +40,14 @@
 	return true
 }
 
-// Changed returns the newest view and a channel that closes at the next change.
+// Changed returns the newest view and a channel that is closed when the next one replaces it.
 func (h *Holder) Changed() (*View, <-chan struct{}) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.current.Load(), h.changed
 }
 
-// Wait returns once the view is newer than the revision, or with the context's error.
+// Wait blocks until the view is newer than the revision. It returns the context's error if that ends first.
 func (h *Holder) Wait(ctx context.Context, revision int64) error {
 	for {
 		v, changed := h.Changed()
--- a/internal/core/view/view.go
+++ b/internal/core/view/view.go
@@ -11,7 +11,7 @@
 	"foxtailcroft/internal/core/plan"
 )
 
-// Entry is one key's value at a revision; a deleted key keeps an entry without a value.
+// Entry is the value of a key at a revision; a deleted key has an entry without a value.
 type Entry struct {
 	Key      string
 	Value    json.RawMessage `json:",omitempty"`
@@ -19,23 +19,23 @@
 	Deleted  bool `json:",omitempty"`
 }
 
-// Delta carries entries that changed. A full delta holds all live keys, so
-// that a key it lacks was deleted by its revision.
+// Delta holds changed entries. A full delta holds all live keys: a key that is
+// missing from it was deleted at or before its revision.
 type Delta struct {
 	Revision int64
 	Entries  []Entry `json:",omitempty"`
 	Full     bool    `json:",omitempty"`
 }
 
-// View is an immutable copy of the configuration. Revisions of a key and of
-// the view never decrease from one View to the next.
+// View is an immutable snapshot of the configuration. The revisions of the view and
+// of each key never decrease from one View to the next.
 type View struct {
 	revision int64
-	// floor is the revision up to which deletions have been forgotten.
-	floor int64
-	// recent holds the newest changes by revision, complete after recentFloor.
+	// forgottenRevision is the revision up to which deletions may have been dropped from entries.
+	forgottenRevision int64
+	// recent holds the newest changes sorted by revision, including all after recentAfter.
 	recent      []Entry
-	recentFloor int64
+	recentAfter int64
 	entries     map[string]Entry
 	models      map[string]kinds.Resource
 	adapters    map[string]kinds.Resource
@@ -46,11 +46,11 @@
 	endpoints   map[string][]string
 }
 
-// maxRecent bounds the changes a view keeps in order for its readers.
-const maxRecent = 1024
+// maxRecentChanges bounds the changes that a view keeps sorted by revision, for Since.
+const maxRecentChanges = 1024
 
-// maxDeleted bounds the deletions a view remembers for its readers.
-const maxDeleted = 4096
+// maxRememberedDeletions bounds the deleted keys whose entries a view keeps, for Since.
+const maxRememberedDeletions = 4096
 
 // Empty returns a view at revision 0.
 func Empty() *View {
@@ -66,31 +66,32 @@
 	return v.revision
 }
 
-// Entry returns the entry of a live key.
+// Entry returns the entry of a key and whether the key exists.
 func (v *View) Entry(key string) (Entry, bool) {
 	e, ok := v.entries[key]
 	return e, ok && !e.Deleted
 }
 
-// Model returns a declared model.
+// Model returns the declared model and whether it exists.
 func (v *View) Model(name string) (kinds.Resource, bool) {
 	r, ok := v.models[name]
 	return r, ok
 }
 
-// Adapter returns a declared adapter.
+// Adapter returns the declared adapter and whether it exists.
 func (v *View) Adapter(name string) (kinds.Resource, bool) {
 	r, ok := v.adapters[name]
 	return r, ok
 }
 
-// Service returns a declared service.
+// Service returns the declared service and whether it exists.
 func (v *View) Service(name string) (kinds.Resource, bool) {
 	r, ok := v.services[name]
 	return r, ok
 }
 
-// Policy returns the policy of that name, or the built-in default.
+// Policy returns the policy with the name, or the built-in default if it is not declared.
+// An empty name stands for kinds.DefaultPolicy.
 func (v *View) Policy(name string) kinds.PolicySpec {
 	if name == "" {
 		name = kinds.DefaultPolicy
@@ -115,48 +116,49 @@
 // Nodes returns the declared nodes by name.
 func (v *View) Nodes() map[string]plan.Node { return v.nodes }
 
-// Endpoints returns the names of the agents before a plain service, sorted.
+// Endpoints returns the sorted names of the agents that serve a plain service.
 func (v *View) Endpoints(service string) []string { return v.endpoints[service] }
 
-// Node returns a declared node.
+// Node returns the declared node and whether it exists.
 func (v *View) Node(name string) (plan.Node, bool) {
 	n, ok := v.nodes[name]
 	return n, ok
 }
 
-// Plan returns the plan under a key of plan.ModelKey or plan.ClaimKey.
+// Plan returns the plan of a plan.ModelKey or plan.ClaimKey; the zero Plan if there is none.
 func (v *View) Plan(key string) plan.Plan {
 	return v.plans[key]
 }
 
 // Resources returns the resources of a kind, sorted by name.
 func (v *View) Resources(kind kinds.Kind) []kinds.Resource {
-	from := map[kinds.Kind]map[string]kinds.Resource{
+	byName := map[kinds.Kind]map[string]kinds.Resource{
 		kinds.Model: v.models, kinds.Adapter: v.adapters, kinds.Service: v.services, kinds.Policy: v.policies,
 	}[kind]
-	return slices.SortedFunc(maps.Values(from), func(a, b kinds.Resource) int { return strings.Compare(a.Name, b.Name) })
+	return slices.SortedFunc(maps.Values(byName), func(a, b kinds.Resource) int { return strings.Compare(a.Name, b.Name) })
 }
 
-// Since returns the entries that changed after a revision, oldest first; full if the view cannot tell what was deleted since.
+// Since returns the entries that changed after the revision, oldest first. The delta is
+// full if the revision is 0 or the view no longer knows which keys were deleted since.
 func (v *View) Since(revision int64) Delta {
-	if revision >= v.recentFloor && revision > 0 {
+	if revision >= v.recentAfter && revision > 0 {
 		first, _ := slices.BinarySearchFunc(v.recent, revision+1, func(e Entry, rev int64) int { return cmp.Compare(e.Revision, rev) })
 		return Delta{Revision: v.revision, Entries: v.recent[first:]}
 	}
-	full := revision < v.floor || revision == 0
+	full := revision < v.forgottenRevision || revision == 0
 	d := Delta{Revision: v.revision, Full: full}
 	for _, e := range v.entries {
 		if (full && !e.Deleted) || (!full && e.Revision > revision) {
 			d.Entries = append(d.Entries, e)
 		}
 	}
-	slices.SortFunc(d.Entries, byRevision)
+	slices.SortFunc(d.Entries, compareRevisions)
 	return d
 }
 
-// With returns the view after a delta; it returns v itself if the delta holds nothing newer.
+// With returns the view with the delta applied, or v itself if the delta holds nothing newer.
 func (v *View) With(d Delta) *View {
-	changed := v.newer(d)
+	changed := v.newerEntries(d)
 	if len(changed) == 0 && d.Revision <= v.revision {
 		return v
 	}
@@ -166,26 +168,26 @@
 		return &out
 	}
 	out.entries = maps.Clone(v.entries)
-	touched := map[string]bool{}
+	changedKinds := map[string]bool{}
 	for _, e := range changed {
 		out.entries[e.Key] = e
 		kind, _, _ := strings.Cut(e.Key, "/")
-		touched[kind] = true
+		changedKinds[kind] = true
 		out.revision = max(out.revision, e.Revision)
 	}
-	out.remember(changed)
-	out.forget()
-	out.cloneParsed(touched)
+	out.addRecent(changed)
+	out.pruneDeletions()
+	out.cloneParsed(changedKinds)
 	for _, e := range changed {
-		out.parse(e)
+		out.updateParsed(e)
 	}
 	return &out
 }
 
-// newer returns the delta's entries that are newer than the view, with the
-// deletions that a full delta implies. The view has every change up to its
-// revision, so that an older entry of a key which it lacks was deleted since.
-func (v *View) newer(d Delta) []Entry {
+// newerEntries returns the entries of the delta that are newer than the view, and the
+// deletions that a full delta implies. The view includes every change up to its
+// revision, so an older entry for a key that it lacks has been deleted since.
+func (v *View) newerEntries(d Delta) []Entry {
 	var changed []Entry
 	listed := map[string]bool{}
 	for _, e := range d.Entries {
@@ -205,86 +207,89 @@
 	return changed
 }
 
-func byRevision(a, b Entry) int {
+func compareRevisions(a, b Entry) int {
 	return cmp.Compare(a.Revision, b.Revision)
 }
 
-// remember adds changes to the recent ones and drops the oldest past maxRecent.
-func (v *View) remember(changed []Entry) {
+// addRecent adds the changes to recent and drops the oldest beyond maxRecentChanges.
+func (v *View) addRecent(changed []Entry) {
 	v.recent = append(slices.Clone(v.recent), changed...)
-	slices.SortStableFunc(v.recent, byRevision)
-	if extra := len(v.recent) - maxRecent; extra > 0 {
-		v.recentFloor = v.recent[extra-1].Revision
-		v.recent = v.recent[extra:]
+	slices.SortStableFunc(v.recent, compareRevisions)
+	if excess := len(v.recent) - maxRecentChanges; excess > 0 {
+		v.recentAfter = v.recent[excess-1].Revision
+		v.recent = v.recent[excess:]
 	}
 }
 
-// forget drops the oldest deletions past maxDeleted and raises the floor to the newest of them.
-func (v *View) forget() {
-	var gone []Entry
+// pruneDeletions drops the oldest deletions once there are more than
+// maxRememberedDeletions, keeps half of that bound, and raises forgottenRevision to
+// the newest one dropped.
+func (v *View) pruneDeletions() {
+	var deletions []Entry
 	for _, e := range v.entries {
 		if e.Deleted {
-			gone = append(gone, e)
+			deletions = append(deletions, e)
 		}
 	}
-	if len(gone) <= maxDeleted {
+	if len(deletions) <= maxRememberedDeletions {
 		return
 	}
-	slices.SortFunc(gone, byRevision)
-	for _, e := range gone[:len(gone)-maxDeleted/2] {
+	slices.SortFunc(deletions, compareRevisions)
+	for _, e := range deletions[:len(deletions)-maxRememberedDeletions/2] {
 		delete(v.entries, e.Key)
-		v.floor = max(v.floor, e.Revision)
+		v.forgottenRevision = max(v.forgottenRevision, e.Revision)
 	}
 }
 
-// cloneParsed copies the parsed maps that the touched key kinds change.
-func (v *View) cloneParsed(touched map[string]bool) {
-	if touched[string(kinds.Model)] {
+// cloneParsed copies the parsed maps of the changed kinds, which other views share.
+func (v *View) cloneParsed(changedKinds map[string]bool) {
+	if changedKinds[string(kinds.Model)] {
 		v.models = maps.Clone(v.models)
 	}
-	if touched[string(kinds.Adapter)] {
+	if changedKinds[string(kinds.Adapter)] {
 		v.adapters = maps.Clone(v.adapters)
 	}
-	if touched[string(kinds.Service)] {
+	if changedKinds[string(kinds.Service)] {
 		v.services = maps.Clone(v.services)
 	}
-	if touched[string(kinds.Policy)] {
+	if changedKinds[string(kinds.Policy)] {
 		v.policies = maps.Clone(v.policies)
 	}
-	if touched["Plan"] || touched["Claims"] {
+	if changedKinds["Plan"] || changedKinds["Claims"] {
 		v.plans = maps.Clone(v.plans)
 	}
-	if touched["Node"] {
+	if changedKinds["Node"] {
 		v.nodes = maps.Clone(v.nodes)
 		v.endpoints = maps.Clone(v.endpoints)
 	}
 }
 
-// parse updates the parsed maps with one entry; a value that cannot be read leaves the last readable one in force.
-func (v *View) parse(e Entry) {
+// updateParsed updates the parsed maps with one entry; if its value cannot be decoded,
+// the last one that could stays in force.
+func (v *View) updateParsed(e Entry) {
 	kind, name, _ := strings.Cut(e.Key, "/")
 	switch kind {
 	case "Plan", "Claims":
-		put(v.plans, e.Key, e)
+		storeParsed(v.plans, e.Key, e)
 	case "Node":
-		v.parseNode(name, e)
+		v.updateNode(name, e)
 	default:
 		parsed := map[string]map[string]kinds.Resource{
 			string(kinds.Model): v.models, string(kinds.Adapter): v.adapters,
 			string(kinds.Service): v.services, string(kinds.Policy): v.policies,
 		}[kind]
-		if parsed != nil && put(parsed, name, e) && !e.Deleted {
+		if parsed != nil && storeParsed(parsed, name, e) && !e.Deleted {
 			parsed[name] = parsed[name].WithRevision(e.Revision)
 		}
 	}
 }
 
-// parseNode updates the nodes and the endpoints of their services.
-func (v *View) parseNode(name string, e Entry) {
+// updateNode updates the parsed node and the endpoints of its service.
+func (v *View) updateNode(name string, e Entry) {
 	if old, ok := v.nodes[name]; ok && old.Service != "" {
 		v.endpoints[old.Service] = slices.DeleteFunc(slices.Clone(v.endpoints[old.Service]), func(n string) bool { return n == name })
 	}
-	put(v.nodes, name, e)
+	storeParsed(v.nodes, name, e)
 	if n, ok := v.nodes[name]; ok && n.Service != "" {
 		list := append(slices.Clone(v.endpoints[n.Service]), name)
 		slices.Sort(list)
@@ -292,8 +297,9 @@
 	}
 }
 
-// put stores the entry's value in a parsed map and reports whether it could be read.
-func put[T any](m map[string]T, name string, e Entry) bool {
+// storeParsed decodes the entry's value into a parsed map, or deletes it there; it reports
+// whether the value could be decoded.
+func storeParsed[T any](m map[string]T, name string, e Entry) bool {
 	if e.Deleted {
 		delete(m, name)
 		return true
@@ -306,7 +312,7 @@
 	return true
 }
 
-// PlanKeys returns the keys of all plans, sorted.
+// PlanKeys returns the sorted keys of all plans.
 func (v *View) PlanKeys() []string {
 	return slices.Sorted(maps.Keys(v.plans))
 }
--- a/internal/core/view/view_test.go
+++ b/internal/core/view/view_test.go
@@ -13,16 +13,16 @@
 
 func TestMain(m *testing.M) { draws.Main(m, 200) }
 
-// change is one accepted write of the drawn history.
-type change struct {
+// drawnWrite is one accepted write of the drawn history.
+type drawnWrite struct {
 	key     string
 	deleted bool
 }
 
-// history draws accepted writes; the write at index i has revision i+1.
-func history(t *rapid.T) []Entry {
-	changes := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) change {
-		return change{fmt.Sprintf("Policy/p%d", rapid.IntRange(0, 4).Draw(t, "key")), rapid.IntRange(0, 4).Draw(t, "deleted") == 0}
+// drawHistory draws accepted writes; the write at index i has revision i+1.
+func drawHistory(t *rapid.T) []Entry {
+	changes := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) drawnWrite {
+		return drawnWrite{fmt.Sprintf("Policy/p%d", rapid.IntRange(0, 4).Draw(t, "key")), rapid.IntRange(0, 4).Draw(t, "deleted") == 0}
 	}), 1, 40).Draw(t, "history")
 	var out []Entry
 	for i, c := range changes {
@@ -40,11 +40,11 @@
 	return Empty().With(Delta{Revision: int64(n), Entries: entries[:n]})
 }
 
-// TestViewNeverGoesBack pulls from sources at drawn revisions, newer and older
-// ones mixed, whole or as deltas, and compares every key after each step.
-func TestViewNeverGoesBack(t *testing.T) {
+// TestViewRevisionsNeverDecrease applies full and partial deltas of sources at newer and
+// older revisions, and compares every key with the history after each of them.
+func TestViewRevisionsNeverDecrease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		entries := history(t)
+		entries := drawHistory(t)
 		v := Empty()
 		for range rapid.IntRange(1, 12).Draw(t, "pulls") {
 			source := stateAt(entries, rapid.IntRange(0, len(entries)).Draw(t, "source"))
@@ -70,7 +70,7 @@
 	})
 }
 
-func TestUnreadableValueLeavesTheLastReadableInForce(t *testing.T) {
+func TestUndecodableValueKeepsLastDecodedValue(t *testing.T) {
 	g := NewWithT(t)
 	v := Empty().With(Delta{Revision: 1, Entries: []Entry{{Key: "Policy/p", Revision: 1, Value: json.RawMessage(`{"Kind":"Policy","Name":"p","Spec":{"ColdStartPrice":5}}`)}}})
 	v = v.With(Delta{Revision: 2, Entries: []Entry{{Key: "Policy/p", Revision: 2, Value: json.RawMessage(`{"Kind":"Unknown"}`)}}})
