--- a/internal/base/clock/doc.go
+++ b/internal/base/clock/doc.go
@@ -1,2 +1,2 @@
-// Package clock reads clocks that the standard library does not.
+// Package clock reads system clocks that the standard library does not offer.
 package clock
--- a/internal/base/conf/conf_test.go
+++ b/internal/base/conf/conf_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestWrongSettingsNameFileLineFieldAndValue(t *testing.T) {
+func TestErrorNamesFileLineFieldAndValue(t *testing.T) {
 	cases := []struct {
 		name, text string
 		want       Wrong
@@ -37,8 +37,8 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
-			set := DefaultEntry()
-			err := Decode("f.yaml", []byte(c.text), &set)
+			entry := DefaultEntry()
+			err := Decode("f.yaml", []byte(c.text), &entry)
 			var w *Wrong
 			g.Expect(errors.As(err, &w)).To(BeTrue(), "%v", err)
 			g.Expect(w.File).To(Equal("f.yaml"))
@@ -49,7 +49,7 @@
 	}
 }
 
-// FuzzSettings checks that no document makes the reader panic, and that what it accepts is valid.
+// FuzzSettings checks that no document makes the decoders panic.
 func FuzzSettings(f *testing.F) {
 	for _, role := range ExampleRoles() {
 		text, err := Example(role)
@@ -63,7 +63,7 @@
 	f.Add([]byte("a: &a [*a]\n"))
 	f.Fuzz(func(_ *testing.T, doc []byte) {
 		entry, agent := DefaultEntry(), DefaultAgent()
-		// Errors are the expected outcome.
+		// Most documents are invalid, so errors are expected.
 		_ = Decode("fuzz", doc, &entry)
 		_ = Decode("fuzz", doc, &agent)
 		_, _ = Resources("fuzz", doc)
--- a/internal/base/conf/doc.go
+++ b/internal/base/conf/doc.go
@@ -1,2 +1,2 @@
-// Package conf reads the settings of processes and the files of resources, strictly.
+// Package conf reads the settings of processes and files of resources; unknown fields are errors.
 package conf
--- a/internal/base/conf/front.go
+++ b/internal/base/conf/front.go
@@ -5,55 +5,55 @@
 // FrontListen are the addresses that a front listens on.
 type FrontListen struct {
 	Callers string
-	// Ready answers the balancer's question.
+	// Ready serves the readiness checks of the load balancer.
 	Ready string
 	// Peers serves the other fronts.
 	Peers string
-	// Metrics serves counters and histograms; empty for none.
+	// Metrics serves the metrics; empty disables it.
 	Metrics string
 }
 
-// RetryBudget bounds second sends over all fronts together.
+// RetryBudget bounds the retries of all fronts together.
 type RetryBudget struct {
-	// Ratio is the share of a service's requests that may be sent again.
+	// Ratio is the share of a service's requests that may be retried.
 	Ratio float64
-	// Slack is the number of second sends allowed beyond the ratio.
+	// Slack is the number of retries allowed in addition to the ratio.
 	Slack float64
 }
 
-// Bounds are the times that the deployment promises or demands.
+// Bounds holds the time limits that the deployment guarantees or requires.
 type Bounds struct {
-	// Grace is the time from the stop signal to the kill.
+	// Grace is the time from the stop signal until the process is killed.
 	Grace time.Duration
-	// InForce is how long a configuration may take to be in force.
+	// InForce bounds the time until a new configuration is in force.
 	InForce time.Duration
-	// Lease is the shortest time between orders of two holders to one server.
+	// Lease is the minimum time between orders of two different lease holders to one server.
 	Lease time.Duration
-	// Returning is how long after an outage of the store announcements may take to come back.
+	// Returning bounds the time after an outage of the store until announcements are back.
 	Returning time.Duration
-	// LoadWindow is the span over which loads from the weight store are counted.
+	// LoadWindow is the time window over which loads from the weight store are counted.
 	LoadWindow time.Duration
 	// MinLease is the shortest lease that the store grants.
 	MinLease time.Duration
-	// Contact is how long a front must have been undisturbed for the other bounds to hold.
+	// Contact is how long a front must have been without disturbance before the other bounds hold.
 	Contact time.Duration
-	// Drain is how long a leaving instance may still be sent requests.
+	// Drain is how long a draining instance may still be sent requests.
 	Drain time.Duration
 }
 
-// Front is the settings of an entry that serves a platform's callers from a whole site's declarations.
+// Front holds the settings of a front: an entry that serves callers by the configuration of a whole deployment.
 type Front struct {
 	Node   Node
 	Listen FrontListen
-	// Seeds are peer addresses that may be stale.
+	// Seeds are addresses of peers to contact first; some may be stale.
 	Seeds []string
 	// Store is the address of the platform's store.
 	Store string
-	// ChecksFence says that servers refuse orders with an old fencing number.
+	// ChecksFence is true if model servers reject orders with an old fencing token.
 	ChecksFence bool
 	Retry       RetryBudget
 	Bounds      Bounds
 	MemoryBytes int64
-	// Processor is the part of a core that the machine has, 0 if not known.
+	// Processor is the number of CPU cores that the process may use, with fractions; 0 if unknown.
 	Processor float64
 }
--- a/internal/base/conf/settings.go
+++ b/internal/base/conf/settings.go
@@ -6,31 +6,31 @@
 	"foxtailcroft/internal/core/kinds"
 )
 
-// Node names a process and where it is.
+// Node holds the name of a process, its region and its failure domain.
 type Node struct {
 	Name   string `yaml:"Name" validate:"required,resourcename"`
 	Region string `yaml:"Region" validate:"required"`
 	Domain string `yaml:"Domain" validate:"required"`
 }
 
-// Platform says where the platform's parts are.
+// Platform holds the addresses of the platform's services.
 type Platform struct {
 	Store string `yaml:"Store" validate:"required,url"`
 	List  string `yaml:"List" validate:"required,url"`
-	// CallsPerSecond is this process's budget of store calls.
+	// CallsPerSecond bounds the rate of this process's calls to the store.
 	CallsPerSecond float64 `yaml:"CallsPerSecond" validate:"gt=0"`
 }
 
-// Log sets what is logged.
+// Log holds the settings of the logger.
 type Log struct {
 	Level string `yaml:"Level" validate:"oneof=debug info warn error"`
 }
 
-// Drain sets how a process leaves.
+// Drain holds the settings of a graceful shutdown.
 type Drain struct {
-	// Notice is how long readiness is down before the listener closes.
+	// Notice is how long the process reports that it is not ready before it closes its listener.
 	Notice kinds.Duration `yaml:"Notice" validate:"gte=0"`
-	// Limit is when requests still in flight are ended with an honest refusal.
+	// Limit is the time after which requests still in flight are refused with their true outcome.
 	Limit kinds.Duration `yaml:"Limit" validate:"gt=0"`
 }
 
@@ -41,7 +41,7 @@
 	Peers   string `yaml:"Peers" validate:"required,hostname_port"`
 }
 
-// Requests bounds what callers may ask of an entry.
+// Requests holds the limits of an entry on callers' requests.
 type Requests struct {
 	DefaultTimeout kinds.Duration `yaml:"DefaultTimeout" validate:"gt=0"`
 	MaxTimeout     kinds.Duration `yaml:"MaxTimeout" validate:"gt=0"`
@@ -50,21 +50,21 @@
 	MaxInFlight    int            `yaml:"MaxInFlight" validate:"gt=0"`
 }
 
-// WeightStore is what the platform's weight store bears.
+// WeightStore holds the load limits of the platform's weight store.
 type WeightStore struct {
 	LoadsPerSecond   float64 `yaml:"LoadsPerSecond" validate:"gt=0"`
 	LoadsAtOnce      int     `yaml:"LoadsAtOnce" validate:"gt=0"`
 	AdaptersInFlight int     `yaml:"AdaptersInFlight" validate:"gt=0"`
 }
 
-// Entry is the settings of an entry.
+// Entry holds the settings of an entry.
 type Entry struct {
 	Node        Node        `yaml:"Node"`
 	Listen      EntryListen `yaml:"Listen"`
 	Platform    Platform    `yaml:"Platform"`
 	Requests    Requests    `yaml:"Requests"`
 	WeightStore WeightStore `yaml:"WeightStore"`
-	// GoneAfter is how long the platform's list must lack an instance before its slots are given up.
+	// GoneAfter is how long an instance must be missing from the platform's list before its slots are removed.
 	GoneAfter kinds.Duration `yaml:"GoneAfter" validate:"gt=0"`
 	Drain     Drain          `yaml:"Drain"`
 	Log       Log            `yaml:"Log"`
@@ -81,7 +81,7 @@
 type Engine struct {
 	URL         string `yaml:"URL" validate:"required,url"`
 	MemoryBytes int64  `yaml:"MemoryBytes" validate:"gt=0"`
-	// ChecksFence says that the engine refuses orders with an old fencing number.
+	// ChecksFence is true if the engine rejects orders with an old fencing token.
 	ChecksFence  bool           `yaml:"ChecksFence"`
 	ReportLag    kinds.Duration `yaml:"ReportLag" validate:"gte=0"`
 	OrderTimeout kinds.Duration `yaml:"OrderTimeout" validate:"gte=0"`
@@ -93,7 +93,7 @@
 	URL  string `yaml:"URL" validate:"required,url"`
 }
 
-// Agent is the settings of an agent; exactly one of Engine and Service is set.
+// Agent holds the settings of an agent; exactly one of Engine and Service is set.
 type Agent struct {
 	Node     Node        `yaml:"Node"`
 	Listen   AgentListen `yaml:"Listen"`
@@ -104,35 +104,35 @@
 	Log      Log         `yaml:"Log"`
 }
 
-// The values of settings that a file leaves out.
+// The defaults of settings that the file leaves out.
 const (
-	defaultCalls       = 50
-	defaultBody        = 4 << 20
-	defaultHeader      = 64 << 10
-	defaultInFlight    = 4096
-	defaultOrderLimit  = 10 * time.Minute
-	defaultDrainLimit  = 60 * time.Second
-	defaultDrainNotice = time.Second
-	defaultTimeout     = 30 * time.Second
-	defaultMaxTimeout  = 15 * time.Minute
-	defaultGoneAfter   = 60 * time.Second
+	defaultCallsPerSecond = 50
+	defaultMaxBodyBytes   = 4 << 20
+	defaultMaxHeaderBytes = 64 << 10
+	defaultMaxInFlight    = 4096
+	defaultOrderTimeout   = 10 * time.Minute
+	defaultDrainLimit     = 60 * time.Second
+	defaultDrainNotice    = time.Second
+	defaultTimeout        = 30 * time.Second
+	defaultMaxTimeout     = 15 * time.Minute
+	defaultGoneAfter      = 60 * time.Second
 )
 
 func platformDefaults() Platform {
-	return Platform{CallsPerSecond: defaultCalls}
+	return Platform{CallsPerSecond: defaultCallsPerSecond}
 }
 
 func drainDefaults() Drain {
 	return Drain{Notice: kinds.Duration(defaultDrainNotice), Limit: kinds.Duration(defaultDrainLimit)}
 }
 
-// DefaultEntry returns an entry's settings where the file says nothing.
+// DefaultEntry returns the default settings of an entry.
 func DefaultEntry() Entry {
 	return Entry{
 		Platform: platformDefaults(),
 		Requests: Requests{
 			DefaultTimeout: kinds.Duration(defaultTimeout), MaxTimeout: kinds.Duration(defaultMaxTimeout),
-			MaxBodyBytes: defaultBody, MaxHeaderBytes: defaultHeader, MaxInFlight: defaultInFlight,
+			MaxBodyBytes: defaultMaxBodyBytes, MaxHeaderBytes: defaultMaxHeaderBytes, MaxInFlight: defaultMaxInFlight,
 		},
 		WeightStore: WeightStore{LoadsPerSecond: 2, LoadsAtOnce: 4, AdaptersInFlight: 30},
 		GoneAfter:   kinds.Duration(defaultGoneAfter),
@@ -141,24 +141,24 @@
 	}
 }
 
-// DefaultAgent returns an agent's settings where the file says nothing.
+// DefaultAgent returns the default settings of an agent.
 func DefaultAgent() Agent {
 	return Agent{Platform: platformDefaults(), Drain: drainDefaults(), Log: Log{Level: "info"}}
 }
 
-// ReadAgent reads an agent's settings.
+// ReadAgent reads the settings of an agent from a file, completed by the defaults.
 func ReadAgent(file string) (Agent, error) {
 	a := DefaultAgent()
 	if err := Read(file, &a); err != nil {
 		return a, err
 	}
 	if a.Engine != nil && a.Engine.OrderTimeout == 0 {
-		a.Engine.OrderTimeout = kinds.Duration(defaultOrderLimit)
+		a.Engine.OrderTimeout = kinds.Duration(defaultOrderTimeout)
 	}
 	return a, nil
 }
 
-// ReadEntry reads an entry's settings.
+// ReadEntry reads the settings of an entry from a file, completed by the defaults.
 func ReadEntry(file string) (Entry, error) {
 	e := DefaultEntry()
 	return e, Read(file, &e)
--- a/internal/base/conf/standin.go
+++ b/internal/base/conf/standin.go
@@ -4,16 +4,16 @@
 	"foxtailcroft/internal/core/kinds"
 )
 
-// StandinPlatform is the settings of the stand-in platform.
+// StandinPlatform holds the settings of the stand-in platform.
 type StandinPlatform struct {
 	Listen  string         `yaml:"Listen" validate:"required,hostname_port"`
 	ListLag kinds.Duration `yaml:"ListLag" validate:"gte=0"`
-	// Instances are what the list holds at start.
+	// Instances is the initial content of the list.
 	Instances []Instance `yaml:"Instances" validate:"dive"`
 	Seed      uint64     `yaml:"Seed"`
 }
 
-// Instance is one line of the stand-in platform's list.
+// Instance is one instance in the stand-in platform's list.
 type Instance struct {
 	Name    string `yaml:"Name" validate:"required"`
 	Role    string `yaml:"Role" validate:"oneof=entry agent"`
@@ -22,7 +22,7 @@
 	Domain  string `yaml:"Domain" validate:"required"`
 }
 
-// StandinEngine is the settings of a stand-in model engine.
+// StandinEngine holds the settings of a stand-in model engine.
 type StandinEngine struct {
 	Listen      string         `yaml:"Listen" validate:"required,hostname_port"`
 	MemoryBytes int64          `yaml:"MemoryBytes" validate:"gt=0"`
@@ -35,7 +35,7 @@
 	ReportLag   kinds.Duration `yaml:"ReportLag" validate:"gte=0"`
 }
 
-// StandinService is the settings of a stand-in plain service.
+// StandinService holds the settings of a stand-in plain service.
 type StandinService struct {
 	Listen string `yaml:"Listen" validate:"required,hostname_port"`
 	Name   string `yaml:"Name" validate:"required"`
--- a/internal/base/crew/crew.go
+++ b/internal/base/crew/crew.go
@@ -6,7 +6,7 @@
 	"github.com/sourcegraph/conc"
 )
 
-// Group runs goroutines until it is closed; its zero value is open.
+// Group runs goroutines until it is closed; the zero value is ready to use.
 type Group struct {
 	mu     sync.Mutex
 	closed bool
@@ -23,7 +23,7 @@
 	return !g.closed
 }
 
-// Close refuses new goroutines and waits for those that run.
+// Close prevents new goroutines from starting and waits for the running ones.
 func (g *Group) Close() {
 	g.mu.Lock()
 	g.closed = true
--- a/internal/base/crew/crew_test.go
+++ b/internal/base/crew/crew_test.go
@@ -9,24 +9,24 @@
 	"github.com/sourcegraph/conc"
 )
 
-// TestGoRacesClose starts goroutines while the group closes: each runs to its
-// end before Close returns, or is refused.
-func TestGoRacesClose(t *testing.T) {
+// TestCloseWaitsForEveryStartedGoroutine calls Go while the group closes: each goroutine
+// either ends before Close returns or is not started.
+func TestCloseWaitsForEveryStartedGoroutine(t *testing.T) {
 	for range 200 {
 		synctest.Test(t, func(t *testing.T) {
 			var g Group
-			var started, ended atomic.Int64
+			var started, finished atomic.Int64
 			var starters conc.WaitGroup
 			for range 8 {
 				starters.Go(func() {
-					for g.Go(func() { ended.Add(1) }) {
+					for g.Go(func() { finished.Add(1) }) {
 						started.Add(1)
 					}
 				})
 			}
 			g.Close()
 			starters.Wait()
-			NewWithT(t).Expect(ended.Load()).To(Equal(started.Load()))
+			NewWithT(t).Expect(finished.Load()).To(Equal(started.Load()))
 		})
 	}
 }
--- a/internal/base/crew/doc.go
+++ b/internal/base/crew/doc.go
@@ -1,2 +1,2 @@
-// Package crew is a group of goroutines that can be closed while others still try to start more.
+// Package crew provides a goroutine group that can be closed while other goroutines still start new ones in it.
 package crew
--- a/internal/base/logs/bounded.go
+++ b/internal/base/logs/bounded.go
@@ -9,22 +9,22 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// Bounded writes lines in a goroutine of its own. When its buffers are full it
-// drops lines and counts them, so that nobody waits for a slow reader; lines of
-// failures have a buffer of their own and are written first.
+// Bounded writes log lines asynchronously. When a buffer is full it drops and counts
+// lines, so that a slow reader of the log blocks no caller. Warnings and errors have
+// a buffer of their own and are written first.
 type Bounded struct {
-	urgent  lane
-	routine lane
+	urgent  lineBuffer
+	routine lineBuffer
 }
 
-// lane is a buffer of lines of one kind.
-type lane struct {
+// lineBuffer buffers the log lines of one priority.
+type lineBuffer struct {
 	lines   chan []byte
 	dropped atomic.Int64
 }
 
-// Write takes a line; it never blocks.
-func (l *lane) Write(line []byte) (int, error) {
+// Write buffers the line, or drops and counts it if the buffer is full; it never blocks.
+func (l *lineBuffer) Write(line []byte) (int, error) {
 	select {
 	case l.lines <- append([]byte(nil), line...):
 	default:
@@ -33,11 +33,12 @@
 	return len(line), nil
 }
 
-// NewBounded returns a writer that buffers a number of lines of each kind, and the function that writes what is left and ends it.
+// NewBounded returns a writer with a buffer of the given number of lines for each
+// priority, and a function that writes the buffered lines and stops it.
 func NewBounded(w io.Writer, lines int) (*Bounded, func()) {
-	b := &Bounded{urgent: lane{lines: make(chan []byte, lines)}, routine: lane{lines: make(chan []byte, lines)}}
+	b := &Bounded{urgent: lineBuffer{lines: make(chan []byte, lines)}, routine: lineBuffer{lines: make(chan []byte, lines)}}
 	var group conc.WaitGroup
-	group.Go(func() { b.drain(w) })
+	group.Go(func() { b.writeLines(w) })
 	return b, func() {
 		close(b.urgent.lines)
 		close(b.routine.lines)
@@ -45,8 +46,8 @@
 	}
 }
 
-// drain writes lines until both buffers are closed.
-func (b *Bounded) drain(w io.Writer) {
+// writeLines writes lines until both buffers are closed and empty, urgent ones first.
+func (b *Bounded) writeLines(w io.Writer) {
 	urgent, routine := b.urgent.lines, b.routine.lines
 	for urgent != nil || routine != nil {
 		var line []byte
@@ -69,27 +70,28 @@
 			}
 		}
 		if ok {
-			// There is nowhere left to report a failed write.
+			// A failed write of the log cannot be reported anywhere else.
 			_, _ = w.Write(line)
 		}
 	}
 }
 
-// Dropped returns the lines of failures and of routine dropped so far.
+// Dropped returns the numbers of urgent and routine lines dropped so far.
 func (b *Bounded) Dropped() (urgent, routine int64) {
 	return b.urgent.dropped.Load(), b.routine.dropped.Load()
 }
 
-// NewSplit returns a logger of JSON lines for a node over a bounded writer: warnings and errors are urgent, all else is routine.
+// NewSplit returns a logger of JSON lines for a node that writes to b: warnings and
+// errors as urgent lines, all others as routine. An unknown level is an error.
 func NewSplit(b *Bounded, level, node string) (*zap.Logger, error) {
-	at, err := zapcore.ParseLevel(level)
+	minLevel, err := zapcore.ParseLevel(level)
 	if err != nil {
 		return nil, err
 	}
 	enc := encoder()
 	core := zapcore.NewTee(
-		zapcore.NewCore(enc, zapcore.AddSync(&b.urgent), zap.LevelEnablerFunc(func(l zapcore.Level) bool { return l >= max(at, zapcore.WarnLevel) })),
-		zapcore.NewCore(enc, zapcore.AddSync(&b.routine), zap.LevelEnablerFunc(func(l zapcore.Level) bool { return l >= at && l < zapcore.WarnLevel })),
+		zapcore.NewCore(enc, zapcore.AddSync(&b.urgent), zap.LevelEnablerFunc(func(l zapcore.Level) bool { return l >= max(minLevel, zapcore.WarnLevel) })),
+		zapcore.NewCore(enc, zapcore.AddSync(&b.routine), zap.LevelEnablerFunc(func(l zapcore.Level) bool { return l >= minLevel && l < zapcore.WarnLevel })),
 	)
 	return zap.New(core).With(zap.String("Node", node)), nil
 }
--- a/internal/base/logs/bounded_test.go
+++ b/internal/base/logs/bounded_test.go
@@ -10,53 +10,54 @@
 	. "github.com/onsi/gomega"
 )
 
-// blocked is a reader of lines that stands still until it is let go.
-type blocked struct {
-	mu   sync.Mutex
-	gate chan struct{}
-	text strings.Builder
+// blockedWriter is a writer that blocks until unblock is closed.
+type blockedWriter struct {
+	mu      sync.Mutex
+	unblock chan struct{}
+	text    strings.Builder
 }
 
-func (b *blocked) Write(line []byte) (int, error) {
-	<-b.gate
+func (b *blockedWriter) Write(line []byte) (int, error) {
+	<-b.unblock
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.text.Write(line)
 }
 
-// TestBlockedReaderHoldsNobodyUp logs far more than fits while nobody reads:
-// no call waits, what is dropped is counted by kind, and lines of failures come first.
-func TestBlockedReaderHoldsNobodyUp(t *testing.T) {
+// TestLoggingDoesNotWaitForBlockedWriter logs far more lines than the buffers hold while
+// the writer blocks: no call waits, dropped lines are counted by priority, and failures
+// are written first.
+func TestLoggingDoesNotWaitForBlockedWriter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		reader := &blocked{gate: make(chan struct{})}
+		writer := &blockedWriter{unblock: make(chan struct{})}
 		const buffer, lines = 100, 1000
-		b, closeBounded := NewBounded(reader, buffer)
+		b, closeBounded := NewBounded(writer, buffer)
 		log, err := NewSplit(b, "info", "front-1")
 		g.Expect(err).NotTo(HaveOccurred())
-		began := time.Now()
+		start := time.Now()
 		for i := range lines {
 			log.Sugar().Infow("request", "Request", i, "Outcome", "answered")
 			if i%100 == 0 {
 				log.Sugar().Warnw("request", "Request", i, "Outcome", "failed")
 			}
 		}
-		g.Expect(time.Since(began)).To(BeZero(), "virtual time stands while nothing waits")
+		g.Expect(time.Since(start)).To(BeZero(), "logging waited for the blocked writer")
 		synctest.Wait()
 		urgent, routine := b.Dropped()
 		g.Expect(urgent).To(BeZero())
 		g.Expect(routine).To(BeNumerically(">=", lines-buffer-1))
-		close(reader.gate)
+		close(writer.unblock)
 		closeBounded()
-		text := reader.text.String()
+		text := writer.text.String()
 		g.Expect(strings.Count(text, `"failed"`)).To(Equal(lines / 100))
-		after := text[strings.LastIndex(text, `"failed"`):]
-		g.Expect(strings.Count(after, `"answered"`)).To(BeNumerically(">=", buffer-1), "failures were written before routine")
+		afterFailures := text[strings.LastIndex(text, `"failed"`):]
+		g.Expect(strings.Count(afterFailures, `"answered"`)).To(BeNumerically(">=", buffer-1), "routine lines were written before failures")
 	})
 }
 
-func BenchmarkBlockedReader(b *testing.B) {
-	bounded, closeBounded := NewBounded(&blocked{gate: make(chan struct{})}, 4096)
+func BenchmarkBlockedWriter(b *testing.B) {
+	bounded, closeBounded := NewBounded(&blockedWriter{unblock: make(chan struct{})}, 4096)
 	log, err := NewSplit(bounded, "info", "front-1")
 	if err != nil {
 		b.Fatal(err)
--- a/internal/base/logs/doc.go
+++ b/internal/base/logs/doc.go
@@ -1,2 +1,2 @@
-// Package logs builds the structured logger: JSON lines with PascalCase keys.
+// Package logs builds structured loggers that write JSON lines with PascalCase keys.
 package logs
--- a/internal/base/logs/logs.go
+++ b/internal/base/logs/logs.go
@@ -11,15 +11,15 @@
 
 // New returns a logger of JSON lines for a node; an unknown level is an error.
 func New(w io.Writer, level, node string) (*zap.Logger, error) {
-	at, err := zapcore.ParseLevel(level)
+	minLevel, err := zapcore.ParseLevel(level)
 	if err != nil {
 		return nil, err
 	}
-	core := zapcore.NewCore(encoder(), zapcore.Lock(zapcore.AddSync(w)), at)
+	core := zapcore.NewCore(encoder(), zapcore.Lock(zapcore.AddSync(w)), minLevel)
 	return zap.New(core).With(zap.String("Node", node)), nil
 }
 
-// encoder returns the encoder of all logs.
+// encoder returns the JSON encoder that all loggers use.
 func encoder() zapcore.Encoder {
 	return zapcore.NewJSONEncoder(zapcore.EncoderConfig{
 		TimeKey: "Time", LevelKey: "Level", MessageKey: "Message", NameKey: "Part", CallerKey: zapcore.OmitKey,
@@ -28,7 +28,7 @@
 	})
 }
 
-// Audit returns a function that writes audit records to the log, whole.
+// Audit returns a function that writes complete audit records to the log.
 func Audit(log *zap.Logger) func(audit.Record) {
 	log = log.Named("Audit")
 	return func(r audit.Record) {
--- a/internal/base/pause/doc.go
+++ b/internal/base/pause/doc.go
@@ -1,2 +1,2 @@
-// Package pause waits for a time or for a context's end.
+// Package pause provides a sleep that ends early when its context does.
 package pause
--- a/internal/base/pause/pause.go
+++ b/internal/base/pause/pause.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// For waits for a duration; it reports false if the context ends first.
+// For sleeps for a duration; it returns false if the context ends first.
 func For(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/base/tree/doc.go
+++ b/internal/base/tree/doc.go
@@ -1,2 +1,3 @@
-// Package tree is the supervisor of a process's parts: it starts each in a group, restarts or gives up, and closes in reverse order.
+// Package tree supervises the goroutines of a process: it restarts those that end or
+// stops the process, and runs clean-ups in reverse order at shutdown.
 package tree
