--- a/internal/base/conf/settings.go
+++ b/internal/base/conf/settings.go
@@ -52,9 +52,11 @@
 
 // WeightStore holds the load limits of the platform's weight store.
 type WeightStore struct {
-	LoadsPerSecond   float64 `yaml:"LoadsPerSecond" validate:"gt=0"`
-	LoadsAtOnce      int     `yaml:"LoadsAtOnce" validate:"gt=0"`
-	AdaptersInFlight int     `yaml:"AdaptersInFlight" validate:"gt=0"`
+	// LoadsPerSecond bounds the model loads started each second.
+	LoadsPerSecond float64 `yaml:"LoadsPerSecond" validate:"gt=0"`
+	// LoadsAtOnce and AdaptersInFlight bound the concurrent loads of models and of adapters.
+	LoadsAtOnce      int `yaml:"LoadsAtOnce" validate:"gt=0"`
+	AdaptersInFlight int `yaml:"AdaptersInFlight" validate:"gt=0"`
 }
 
 // Entry holds the settings of an entry.
@@ -82,7 +84,8 @@
 	URL         string `yaml:"URL" validate:"required,url"`
 	MemoryBytes int64  `yaml:"MemoryBytes" validate:"gt=0"`
 	// ChecksFence is true if the engine rejects orders with an old fencing token.
-	ChecksFence  bool           `yaml:"ChecksFence"`
+	ChecksFence bool `yaml:"ChecksFence"`
+	// ReportLag is the maximum age of the engine's reports.
 	ReportLag    kinds.Duration `yaml:"ReportLag" validate:"gte=0"`
 	OrderTimeout kinds.Duration `yaml:"OrderTimeout" validate:"gte=0"`
 }
--- a/internal/core/site/document.go
+++ b/internal/core/site/document.go
@@ -26,13 +26,17 @@
 
 // Route sends requests for a host and path prefix to services.
 type Route struct {
-	Name     string
-	Host     string
-	Prefix   string
-	Kind     Kind
-	Timeout  time.Duration
-	Goal     time.Duration
-	MaxGap   time.Duration
+	Name    string
+	Host    string
+	Prefix  string
+	Kind    Kind
+	Timeout time.Duration
+	// Goal is the target for the time to the first event of the response; 0 if the route has none.
+	Goal time.Duration
+	// MaxGap is the target for the longest pause between events of a streamed response; 0 if the
+	// route has none.
+	MaxGap time.Duration
+	// Rank is the priority that requests to instances carry.
 	Rank     int
 	Attempts int
 	// Sticky is true if requests of the route name the shared parts of their prompts, so that
@@ -63,11 +67,13 @@
 
 // Engine describes the model servers of a service.
 type Engine struct {
+	// Slots bounds the concurrent requests of one server.
 	Slots int
 	// CacheTokens is the capacity of one server's key-value cache for running requests and cached prompts.
 	CacheTokens int
 	// WeightsMB is the memory of one server for the weights of models and adapters.
-	WeightsMB     float64
+	WeightsMB float64
+	// AdapterPlaces bounds the adapters that one server has loaded.
 	AdapterPlaces int
 	// LoadsPerSecond bounds the rate of loads from the weight store over all servers.
 	LoadsPerSecond float64
--- a/internal/core/site/instance.go
+++ b/internal/core/site/instance.go
@@ -4,7 +4,8 @@
 
 // Key identifies one incarnation of an instance: a restart keeps the ID and changes Born.
 type Key struct {
-	ID   string
+	ID string
+	// Born is the start of the incarnation, as the instance announces it.
 	Born int64
 }
 
@@ -15,6 +16,7 @@
 	Address string
 	Domain  string
 	Slots   int
+	// Leaving is true if the instance is draining.
 	Leaving bool
 	// ColdFor is how much longer the instance is slow because it has just started; 0 if it is warm.
 	ColdFor time.Duration
@@ -35,9 +37,10 @@
 	Born     int64
 	Sequence int64
 	// Busy is true while a model is being loaded or unloaded.
-	Busy       bool
-	Models     []string
-	Adapters   []Adapter
+	Busy     bool
+	Models   []string
+	Adapters []Adapter
+	// InMemory and OnDisk are the models whose weights the server has in main memory and on disk.
 	InMemory   []string
 	OnDisk     []string
 	Running    int
@@ -49,6 +52,7 @@
 type Order struct {
 	Unload bool
 	Target Adapter
+	// Holder is the front that holds the planner's lease, and Fence its fencing token.
 	Holder string
 	Fence  int64
 	// Sequence is the number of orders that the server must have accepted so far; otherwise it rejects the order.
--- a/internal/core/site/request.go
+++ b/internal/core/site/request.go
@@ -19,7 +19,8 @@
 	PromptTokens int
 	MaxTokens    int
 	Parts        []Part
-	LastEvent    string
+	// LastEvent is the ID of the last event that the caller received, from which a stream resumes.
+	LastEvent string
 }
 
 // Load is the request load that a server reports with an answer.
