--- a/internal/plat/fleet/doc.go
+++ b/internal/plat/fleet/doc.go
@@ -1,2 +1,2 @@
-// Package fleet reads the platform's lagging list of instances.
+// Package fleet is a client of the platform's instance list, which is eventually consistent.
 package fleet
--- a/internal/plat/fleet/fleet.go
+++ b/internal/plat/fleet/fleet.go
@@ -11,7 +11,7 @@
 	"foxtailcroft/internal/core/fault"
 )
 
-// Instance is one instance as the platform lists it.
+// Instance is one entry of the platform's instance list.
 type Instance struct {
 	Name    string
 	Role    string
@@ -21,28 +21,28 @@
 	Leaving bool
 }
 
-// List is the platform's list of live and leaving instances, which lags behind what happens.
+// List is the platform's list of live and leaving instances; it lags behind the actual state.
 type List interface {
 	Instances(ctx context.Context) ([]Instance, error)
 }
 
 const (
-	callTimeout = 2 * time.Second
-	maxReply    = 64 << 20
+	callTimeout   = 2 * time.Second
+	maxReplyBytes = 64 << 20
 )
 
-// Client reads the list over HTTP.
+// Client is an HTTP client of the instance list.
 type Client struct {
 	url  string
 	http *http.Client
 }
 
-// NewClient returns a client of the list at base URL.
+// NewClient returns a client of the instance list at the base URL.
 func NewClient(base string, transport http.RoundTripper) *Client {
 	return &Client{url: base + "/v1/instances", http: &http.Client{Transport: transport}}
 }
 
-// Instances returns the list.
+// Instances returns the platform's current list; errors of the call are *fault.Away.
 func (c *Client) Instances(ctx context.Context) ([]Instance, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -59,7 +59,7 @@
 		return nil, &fault.Away{Part: "instance list", Err: fmt.Errorf("answered %s", resp.Status)}
 	}
 	var reply struct{ Instances []Instance }
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxReply)).Decode(&reply); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxReplyBytes)).Decode(&reply); err != nil {
 		return nil, &fault.Away{Part: "instance list", Err: err}
 	}
 	return reply.Instances, nil
--- a/internal/plat/follow/doc.go
+++ b/internal/plat/follow/doc.go
@@ -1,4 +1,4 @@
-// Package follow keeps a process' view of a site — the operator's document,
-// the instances and the other fronts — at the store's revision, from the store
-// or, while that is away, from other fronts.
+// Package follow maintains a local view of a site: the operator's document,
+// the instances and the fronts, all at one store revision. It reads and watches
+// the store, and falls back on other fronts while the store is unavailable.
 package follow
--- a/internal/plat/follow/follower.go
+++ b/internal/plat/follow/follower.go
@@ -15,26 +15,26 @@
 )
 
 const (
-	// retryPause is between tries at a store that does not answer; each try is priced.
-	retryPause = 400 * time.Millisecond
-	// firstRetryPause is the same while nothing is known yet.
-	firstRetryPause = 100 * time.Millisecond
-	// missingPause is between looks at the instances that may come back after an outage.
-	missingPause = 100 * time.Millisecond
-	// peerPause is between questions to other fronts while the store is away.
-	peerPause = 250 * time.Millisecond
-	// planningGather is the planner's pause after a watch has shown changes.
-	planningGather = 60 * time.Millisecond
-	// rereadEvery is how often the document is read linearizably beside the watch.
-	rereadEvery = 5 * time.Second
+	// storeRetryInterval is the pause between calls to a store that does not answer; each call has a cost.
+	storeRetryInterval = 400 * time.Millisecond
+	// startupRetryInterval replaces storeRetryInterval until a first document is known.
+	startupRetryInterval = 100 * time.Millisecond
+	// missingCheckInterval is the pause between checks for instances that did not return after an outage.
+	missingCheckInterval = 100 * time.Millisecond
+	// peerPollInterval is the pause between polls of other fronts while the store is unavailable.
+	peerPollInterval = 250 * time.Millisecond
+	// plannerBatchDelay is the planner's pause after a batch of changes, so that the next call returns more of them.
+	plannerBatchDelay = 60 * time.Millisecond
+	// rereadInterval is the period of linearizable reads of the document in addition to the watch.
+	rereadInterval = 5 * time.Second
 )
 
-// Peers asks other fronts for a view newer than a revision.
+// Peers fetches a view newer than a revision from other fronts; false if none has one.
 type Peers interface {
 	Newer(ctx context.Context, revision int64) (store.List, bool)
 }
 
-// Follower keeps the newest state that the store or another front has shown.
+// Follower holds the newest state received from the store or from another front.
 type Follower struct {
 	store   store.Store
 	decoder Decoder
@@ -44,33 +44,33 @@
 	peers   Peers
 	log     *zap.SugaredLogger
 	state   atomic.Pointer[State]
-	// changing is held while a new state is made; missing belongs to it.
-	changing sync.Mutex
+	// updateMu serializes state updates and guards missing.
+	updateMu sync.Mutex
 	mu       sync.Mutex
-	// awaySince is when the store was last found away; zero while it answers.
-	awaySince time.Time
-	// backAt is when it answered again.
-	backAt time.Time
-	// missing are the keys of instances that lapsed around an outage and may come back.
+	// outageSince is the start of the current outage of the store; zero while the store answers.
+	outageSince time.Time
+	// recoveredAt is the end of the last outage; zero if there was none.
+	recoveredAt time.Time
+	// missing holds the keys of instances whose announcements lapsed around an outage and that may return.
 	missing map[string]bool
 }
 
-// Times are the bounds that a deployment sets for its view.
+// Times holds the delays that a deployment configures.
 type Times struct {
-	// Returning is how long instances may take to come back after an outage of the store.
+	// Returning is how long after an outage of the store a lapsed instance may announce itself again.
 	Returning time.Duration
-	// Gather is the pause after a watch has shown changes, for more of them to gather.
+	// Gather is the pause after a batch of changes, so that the next call returns more of them.
 	Gather time.Duration
 }
 
 // New returns a follower with an empty state.
 func New(self string, s store.Store, d Decoder, l Layout, t Times, log *zap.SugaredLogger) *Follower {
 	f := &Follower{self: self, store: s, decoder: d, layout: l, times: t, log: log, missing: map[string]bool{}}
-	f.state.Store(&State{Keys: map[string]store.KV{}, Instances: map[string]site.Instance{}, Fronts: map[string]Front{}, next: make(chan struct{})})
+	f.state.Store(&State{Keys: map[string]store.KV{}, Instances: map[string]site.Instance{}, Fronts: map[string]Front{}, replaced: make(chan struct{})})
 	return f
 }
 
-// SetPeers sets whom to ask while the store is away; call it before Run.
+// SetPeers sets the source of views while the store is unavailable; call it before Run.
 func (f *Follower) SetPeers(m Peers) {
 	f.peers = m
 }
@@ -80,11 +80,11 @@
 	return f.state.Load()
 }
 
-// Away reports whether the store does not answer, or has answered again for less than a span.
+// Away reports whether the store is unavailable or recovered less than span ago.
 func (f *Follower) Away(span time.Duration) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return !f.awaySince.IsZero() || time.Since(f.backAt) < span && !f.backAt.IsZero()
+	return !f.outageSince.IsZero() || time.Since(f.recoveredAt) < span && !f.recoveredAt.IsZero()
 }
 
 // Run reads and watches the store until the context ends.
@@ -92,21 +92,21 @@
 	for ctx.Err() == nil {
 		list, err := f.readAll(ctx)
 		if err != nil {
-			f.away(err)
-			wait := retryPause
+			f.markUnavailable(err)
+			wait := storeRetryInterval
 			if f.State().Document == nil {
-				wait = firstRetryPause
+				wait = startupRetryInterval
 			}
 			pause.For(ctx, wait)
 			continue
 		}
-		f.back()
-		f.replace(list)
+		f.markAvailable()
+		f.replaceView(list)
 		f.watch(ctx)
 	}
 }
 
-// readAll reads every prefix; the revision is the lowest of them, so that a watch from there misses nothing.
+// readAll reads every prefix and returns the lowest of their revisions, so that a watch from there misses no change.
 func (f *Follower) readAll(ctx context.Context) (store.List, error) {
 	var all store.List
 	for _, prefix := range f.layout.Prefixes {
@@ -122,18 +122,18 @@
 	return all, nil
 }
 
-// watch follows changes until the history is lost; a store that does not answer is asked again from the same revision.
+// watch applies changes until the store has compacted the history; after other errors it resumes at the same revision.
 func (f *Follower) watch(ctx context.Context) {
 	for ctx.Err() == nil {
-		if !f.probe(ctx) {
-			pause.For(ctx, retryPause)
+		if !f.probeStore(ctx) {
+			pause.For(ctx, storeRetryInterval)
 			continue
 		}
 		err := f.store.Watch(ctx, "", f.State().Revision, func(b store.Batch) error {
-			f.back()
-			f.apply(b)
+			f.markAvailable()
+			f.applyBatch(b)
 			if len(b.Events) > 0 {
-				pause.For(ctx, f.gather())
+				pause.For(ctx, f.batchDelay())
 			}
 			return nil
 		})
@@ -143,38 +143,39 @@
 			return
 		}
 		if ctx.Err() == nil {
-			f.away(err)
-			pause.For(ctx, retryPause)
+			f.markUnavailable(err)
+			pause.For(ctx, storeRetryInterval)
 		}
 	}
 }
 
-// probe asks a store that was away whether it answers again, as a watch would
-// only tell so with the next change; false if it does not.
-func (f *Follower) probe(ctx context.Context) bool {
+// probeStore reports whether the store is available. During an outage it reads
+// one key, because a watch would show the recovery only with the next change.
+func (f *Follower) probeStore(ctx context.Context) bool {
 	if !f.Away(0) {
 		return true
 	}
 	if _, _, err := f.store.Get(ctx, f.layout.DocumentKey); err != nil {
 		return false
 	}
-	f.back()
+	f.markAvailable()
 	return true
 }
 
-// gather is how long changes are left to gather before the next call, as each
-// call is priced: the planner hears of loads that end, the others only have to
-// hear of documents and leaving instances in time.
-func (f *Follower) gather() time.Duration {
+// batchDelay returns the pause before the next watch call. Each call has a
+// cost, so changes are batched: briefly on the planner, which waits for loads to
+// finish, and longer on other fronts, which only need documents and draining
+// instances in time.
+func (f *Follower) batchDelay() time.Duration {
 	if s := f.State(); s.Planner != nil && s.Planner.Name == f.self {
-		return planningGather
+		return plannerBatchDelay
 	}
 	return f.times.Gather
 }
 
-// RunReread reads the document linearizably now and then, in case a watch stays silent.
+// RunReread reads the document linearizably every rereadInterval, in case the watch drops changes.
 func (f *Follower) RunReread(ctx context.Context) {
-	for pause.For(ctx, rereadEvery) {
+	for pause.For(ctx, rereadInterval) {
 		kv, ok, err := f.store.Get(ctx, f.layout.DocumentKey)
 		if err != nil || !ok {
 			continue
@@ -183,46 +184,46 @@
 			if kv.Revision <= old.Keys[kv.Key].Revision {
 				return old
 			}
-			f.log.Warnw("the watch missed a document", "Revision", kv.Revision, "Known", old.Keys[kv.Key].Revision)
-			return f.derive(old, withEvents(old.Keys, []store.Event{{KV: kv}}), old.Revision)
+			f.log.Warnw("document change missed by the watch; applied from a linearizable read", "Revision", kv.Revision, "Known", old.Keys[kv.Key].Revision)
+			return f.deriveState(old, applyEvents(old.Keys, []store.Event{{KV: kv}}), old.Revision)
 		})
 	}
 }
 
-// RunPeers asks other fronts for newer views while the store is away.
+// RunPeers polls other fronts for newer views while the store is unavailable or no document is known.
 func (f *Follower) RunPeers(ctx context.Context) {
-	for pause.For(ctx, peerPause) {
+	for pause.For(ctx, peerPollInterval) {
 		if f.peers == nil || !f.Away(0) && f.State().Document != nil {
 			continue
 		}
 		if list, ok := f.peers.Newer(ctx, f.State().Revision); ok {
-			f.log.Infow("newer view from another front", "Revision", list.Revision)
-			f.replace(list)
+			f.log.Infow("applying a newer view from another front", "Revision", list.Revision)
+			f.replaceView(list)
 		}
 	}
 }
 
-// RunMissing drops instances that did not come back after an outage.
+// RunMissing removes instances that did not announce themselves again after an outage.
 func (f *Follower) RunMissing(ctx context.Context) {
-	for pause.For(ctx, missingPause) {
+	for pause.For(ctx, missingCheckInterval) {
 		if f.Away(f.times.Returning) {
 			continue
 		}
 		f.update(func(old *State) *State {
 			keys := old.Keys
 			for key := range f.missing {
-				keys = withEvents(keys, []store.Event{{KV: store.KV{Key: key, Revision: old.Revision + 1}, Deleted: true}})
+				keys = applyEvents(keys, []store.Event{{KV: store.KV{Key: key, Revision: old.Revision + 1}, Deleted: true}})
 				delete(f.missing, key)
 			}
 			if len(keys) == len(old.Keys) {
 				return old
 			}
-			return f.derive(old, keys, old.Revision)
+			return f.deriveState(old, keys, old.Revision)
 		})
 	}
 }
 
-// Snapshot returns all keys if they are newer than a revision.
+// Snapshot returns all keys; false if the state is not newer than the revision.
 func (f *Follower) Snapshot(after int64) (store.List, bool) {
 	s := f.State()
 	if s.Revision <= after {
@@ -235,11 +236,11 @@
 	return list, true
 }
 
-func (f *Follower) away(err error) {
+func (f *Follower) markUnavailable(err error) {
 	f.mu.Lock()
-	first := f.awaySince.IsZero()
+	first := f.outageSince.IsZero()
 	if first {
-		f.awaySince = time.Now()
+		f.outageSince = time.Now()
 	}
 	f.mu.Unlock()
 	if first {
@@ -247,11 +248,11 @@
 	}
 }
 
-func (f *Follower) back() {
+func (f *Follower) markAvailable() {
 	f.mu.Lock()
-	since := f.awaySince
+	since := f.outageSince
 	if !since.IsZero() {
-		f.awaySince, f.backAt = time.Time{}, time.Now()
+		f.outageSince, f.recoveredAt = time.Time{}, time.Now()
 	}
 	f.mu.Unlock()
 	if !since.IsZero() {
@@ -259,8 +260,8 @@
 	}
 }
 
-// replace takes over a whole view if it is not older.
-func (f *Follower) replace(list store.List) {
+// replaceView replaces all keys by those of list, unless list is older.
+func (f *Follower) replaceView(list store.List) {
 	f.update(func(old *State) *State {
 		if list.Revision < old.Revision {
 			return old
@@ -272,13 +273,13 @@
 			}
 			keys[kv.Key] = kv
 		}
-		f.keepMissing(old, keys)
-		return f.derive(old, keys, list.Revision)
+		f.retainMissing(old, keys)
+		return f.deriveState(old, keys, list.Revision)
 	})
 }
 
-// apply takes over the changes that a watch has shown.
-func (f *Follower) apply(b store.Batch) {
+// applyBatch applies the changes of one watch batch.
+func (f *Follower) applyBatch(b store.Batch) {
 	f.update(func(old *State) *State {
 		if len(b.Events) == 0 {
 			if b.Revision <= old.Revision {
@@ -286,18 +287,18 @@
 			}
 			s := *old
 			s.Revision = b.Revision
-			s.next = make(chan struct{})
+			s.replaced = make(chan struct{})
 			return &s
 		}
-		keys := withEvents(old.Keys, b.Events)
-		f.keepMissing(old, keys)
-		return f.derive(old, keys, max(old.Revision, b.Revision))
+		keys := applyEvents(old.Keys, b.Events)
+		f.retainMissing(old, keys)
+		return f.deriveState(old, keys, max(old.Revision, b.Revision))
 	})
 }
 
-// keepMissing keeps the document, and the instances that vanished while the
-// store was away or before those that lapsed had the time to come back.
-func (f *Follower) keepMissing(old *State, keys map[string]store.KV) {
+// retainMissing restores in keys a document that is missing there, and the
+// instances that disappeared during an outage or within Times.Returning after it.
+func (f *Follower) retainMissing(old *State, keys map[string]store.KV) {
 	if kv, ok := old.Keys[f.layout.DocumentKey]; ok && keys[f.layout.DocumentKey].Revision == 0 {
 		keys[f.layout.DocumentKey] = kv
 	}
@@ -320,16 +321,16 @@
 	}
 }
 
-// update replaces the state; waiters on the old one wake up.
+// update replaces the state and wakes the waiters on State.Next of the old one.
 func (f *Follower) update(change func(*State) *State) {
-	f.changing.Lock()
-	defer f.changing.Unlock()
+	f.updateMu.Lock()
+	defer f.updateMu.Unlock()
 	old := f.state.Load()
 	s := change(old)
 	if s == old {
 		return
 	}
-	f.gone(old, s)
+	f.logRemoved(old, s)
 	f.state.Store(s)
-	close(old.next)
+	close(old.replaced)
 }
--- a/internal/plat/follow/follower_test.go
+++ b/internal/plat/follow/follower_test.go
@@ -17,7 +17,7 @@
 	"foxtailcroft/internal/standin/platf"
 )
 
-// plainDecoder reads documents that are a version, and instances that are an address.
+// plainDecoder decodes documents of the form "v<version>" and announcements of the form "at <address>".
 type plainDecoder struct{}
 
 func (plainDecoder) Document(data []byte) (*site.Document, error) {
@@ -33,26 +33,26 @@
 	return in, err
 }
 
-// returning is how long instances may take to come back in these tests.
-const returning = 2 * time.Second
+// testReturnGrace is Times.Returning in these tests.
+const testReturnGrace = 2 * time.Second
 
-// restingGather is the pause after changes in these tests.
-const restingGather = 600 * time.Millisecond
+// testBatchDelay is Times.Gather in these tests.
+const testBatchDelay = 600 * time.Millisecond
 
-// watcher is a follower of a store in memory, in a synctest bubble.
-type watcher struct {
+// followerTest runs a follower of an in-memory store in a synctest bubble.
+type followerTest struct {
 	g *WithT
 	*platf.Memory
 	f   *Follower
 	ctx context.Context
 }
 
-// windows ends each watch after a while, as the real store does.
-type windows struct {
+// windowedStore ends each watch after a second, as the real store ends long polls.
+type windowedStore struct {
 	*platf.Memory
 }
 
-func (w windows) Watch(ctx context.Context, prefix string, after int64, fn func(store.Batch) error) error {
+func (w windowedStore) Watch(ctx context.Context, prefix string, after int64, fn func(store.Batch) error) error {
 	for ctx.Err() == nil {
 		window, cancel := context.WithTimeout(ctx, time.Second)
 		err := w.Memory.Watch(window, prefix, after, func(b store.Batch) error {
@@ -71,12 +71,12 @@
 	return ctx.Err()
 }
 
-func watching(t *testing.T, peers Peers, test func(*watcher)) {
+func runFollower(t *testing.T, peers Peers, test func(*followerTest)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		w := &watcher{g: NewWithT(t), Memory: platf.NewMemory(1), ctx: ctx}
+		w := &followerTest{g: NewWithT(t), Memory: platf.NewMemory(1), ctx: ctx}
 		layout := Layout{DocumentKey: "op/doc", InstancePrefix: "srv/", Prefixes: []string{"op/", "srv/", OwnPrefix}}
-		w.f = New("me", windows{w.Memory}, plainDecoder{}, layout, Times{Returning: returning, Gather: restingGather}, zap.NewNop().Sugar())
+		w.f = New("me", windowedStore{w.Memory}, plainDecoder{}, layout, Times{Returning: testReturnGrace, Gather: testBatchDelay}, zap.NewNop().Sugar())
 		w.f.SetPeers(peers)
 		var group conc.WaitGroup
 		for _, run := range []func(context.Context){w.f.Run, w.f.RunReread, w.f.RunPeers, w.f.RunMissing} {
@@ -90,8 +90,8 @@
 	})
 }
 
-// put writes past the store's faults, as the operator and the servers do.
-func (w *watcher) put(key, value string) {
+// put writes a key with the injected faults suspended, as other clients of the store would.
+func (w *followerTest) put(key, value string) {
 	faults := w.Faults()
 	w.SetFaults(platf.Faults{})
 	_, err := w.Commit(w.ctx, store.Txn{Puts: []store.Put{{Key: key, Value: []byte(value)}}})
@@ -99,7 +99,7 @@
 	w.SetFaults(faults)
 }
 
-func (w *watcher) remove(key string) {
+func (w *followerTest) remove(key string) {
 	faults := w.Faults()
 	w.SetFaults(platf.Faults{})
 	_, err := w.Commit(w.ctx, store.Txn{Deletes: []string{key}})
@@ -107,21 +107,21 @@
 	w.SetFaults(faults)
 }
 
-// version is the document in force, 0 if none.
-func (w *watcher) version() int64 {
+// version returns the version of the applied document, 0 if there is none.
+func (w *followerTest) version() int64 {
 	if d := w.f.State().Document; d != nil {
 		return d.Version
 	}
 	return 0
 }
 
-func (w *watcher) has(id string) bool {
+func (w *followerTest) has(id string) bool {
 	_, ok := w.f.State().Instances[id]
 	return ok
 }
 
-func TestChangesAreInForceInTime(t *testing.T) {
-	watching(t, nil, func(w *watcher) {
+func TestChangesAreAppliedWithinTheBatchDelay(t *testing.T) {
+	runFollower(t, nil, func(w *followerTest) {
 		w.put("op/doc", "v3")
 		w.put("srv/a", "at 1")
 		time.Sleep(time.Second)
@@ -130,7 +130,7 @@
 			w.put("op/doc", fmt.Sprintf("v%d", v))
 			time.Sleep(60 * time.Millisecond)
 		}
-		time.Sleep(restingGather)
+		time.Sleep(testBatchDelay)
 		w.g.Expect(w.version()).To(Equal(int64(39)))
 		w.put("srv/a", "at leaving")
 		time.Sleep(time.Second)
@@ -139,7 +139,7 @@
 }
 
 func TestAnOlderDocumentNeverReplacesANewerOne(t *testing.T) {
-	watching(t, nil, func(w *watcher) {
+	runFollower(t, nil, func(w *followerTest) {
 		w.put("op/doc", "v7")
 		time.Sleep(time.Second)
 		w.put("op/doc", "v5")
@@ -151,8 +151,8 @@
 	})
 }
 
-func TestMalformedAnnouncementNamesNoInstance(t *testing.T) {
-	watching(t, nil, func(w *watcher) {
+func TestMalformedAnnouncementAddsNoInstance(t *testing.T) {
+	runFollower(t, nil, func(w *followerTest) {
 		w.put("srv/a", "at 1")
 		w.put("srv/b", "garbage")
 		time.Sleep(time.Second)
@@ -161,8 +161,8 @@
 	})
 }
 
-func TestLostHistoryIsReadAgain(t *testing.T) {
-	watching(t, nil, func(w *watcher) {
+func TestCompactedHistoryIsReadAgain(t *testing.T) {
+	runFollower(t, nil, func(w *followerTest) {
 		w.put("op/doc", "v1")
 		w.put("srv/a", "at 1")
 		time.Sleep(time.Second)
@@ -174,35 +174,35 @@
 		w.SetFaults(platf.Faults{})
 		time.Sleep(2 * time.Second)
 		w.g.Expect(w.version()).To(Equal(int64(2)))
-		w.g.Expect(w.has("a")).To(BeFalse(), "a calm store's word that an instance is gone holds at once")
+		w.g.Expect(w.has("a")).To(BeFalse(), "without an outage a removed instance is dropped immediately")
 		w.g.Expect(w.has("b")).To(BeTrue())
 	})
 }
 
-func TestSilentWatchIsNoticedByRereading(t *testing.T) {
-	watching(t, nil, func(w *watcher) {
+func TestRereadFindsADocumentThatTheWatchMissed(t *testing.T) {
+	runFollower(t, nil, func(w *followerTest) {
 		w.put("op/doc", "v1")
 		time.Sleep(time.Second)
 		w.SetFaults(platf.Faults{MuteWatches: true})
 		w.put("op/doc", "v2")
-		time.Sleep(rereadEvery + time.Second)
+		time.Sleep(rereadInterval + time.Second)
 		w.g.Expect(w.version()).To(Equal(int64(2)))
 	})
 }
 
-// TestLapsedInstances covers announcements that vanish around an outage.
+// TestLapsedInstances checks that instances whose announcements lapse during an outage are kept for Times.Returning.
 func TestLapsedInstances(t *testing.T) {
 	cases := []struct {
 		name  string
 		back  time.Duration
 		stays bool
 	}{
-		{"back within the time", time.Second, true},
-		{"not back", 0, false},
+		{"announced again within the grace period", time.Second, true},
+		{"not announced again", 0, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			watching(t, nil, func(w *watcher) {
+			runFollower(t, nil, func(w *followerTest) {
 				w.put("op/doc", "v1")
 				w.put("srv/a", "at 1")
 				time.Sleep(time.Second)
@@ -211,22 +211,23 @@
 				w.remove("srv/a")
 				w.SetFaults(platf.Faults{})
 				time.Sleep(600 * time.Millisecond)
-				w.g.Expect(w.has("a")).To(BeTrue(), "kept while it may come back")
+				w.g.Expect(w.has("a")).To(BeTrue(), "kept while it may return")
 				if c.back > 0 {
 					time.Sleep(c.back)
 					w.put("srv/a", "at 1")
 				}
-				time.Sleep(2 * returning)
+				time.Sleep(2 * testReturnGrace)
 				w.g.Expect(w.has("a")).To(Equal(c.stays))
 			})
 		})
 	}
 }
 
-// TestInstanceThatLeavesSoonAfterAnOutage goes without a word one second after
-// the store is back: it is kept no longer than lapsed ones may take to return.
+// TestInstanceThatLeavesSoonAfterAnOutage removes an instance one second after
+// the store has recovered, without draining it first: it is kept no longer than
+// Times.Returning after the outage.
 func TestInstanceThatLeavesSoonAfterAnOutage(t *testing.T) {
-	watching(t, nil, func(w *watcher) {
+	runFollower(t, nil, func(w *followerTest) {
 		w.put("op/doc", "v1")
 		w.put("srv/a", "at 1")
 		time.Sleep(time.Second)
@@ -239,24 +240,24 @@
 		for w.has("a") {
 			time.Sleep(10 * time.Millisecond)
 		}
-		w.g.Expect(time.Since(back)).To(BeNumerically("<=", retryPause+returning+200*time.Millisecond))
+		w.g.Expect(time.Since(back)).To(BeNumerically("<=", storeRetryInterval+testReturnGrace+200*time.Millisecond))
 	})
 }
 
-func TestInstanceGoneInCalmTimeIsGoneAtOnce(t *testing.T) {
-	watching(t, nil, func(w *watcher) {
+func TestInstanceRemovedWithoutAnOutageIsDroppedImmediately(t *testing.T) {
+	runFollower(t, nil, func(w *followerTest) {
 		w.put("srv/a", "at 1")
 		time.Sleep(5 * time.Second)
 		w.remove("srv/a")
-		time.Sleep(restingGather + 100*time.Millisecond)
+		time.Sleep(testBatchDelay + 100*time.Millisecond)
 		w.g.Expect(w.has("a")).To(BeFalse())
 	})
 }
 
-// mate answers with one view.
-type mate struct{ list atomic.Pointer[store.List] }
+// fakePeer returns a fixed view.
+type fakePeer struct{ list atomic.Pointer[store.List] }
 
-func (m *mate) Newer(_ context.Context, revision int64) (store.List, bool) {
+func (m *fakePeer) Newer(_ context.Context, revision int64) (store.List, bool) {
 	list := m.list.Load()
 	if list == nil {
 		return store.List{}, false
@@ -264,18 +265,18 @@
 	return *list, list.Revision > revision
 }
 
-func TestOtherFrontsTellWhileTheStoreIsAway(t *testing.T) {
-	m := &mate{}
-	watching(t, m, func(w *watcher) {
+func TestViewsOfOtherFrontsAreAppliedWhileTheStoreIsUnavailable(t *testing.T) {
+	m := &fakePeer{}
+	runFollower(t, m, func(w *followerTest) {
 		w.SetFaults(platf.Faults{Away: true})
 		time.Sleep(time.Second)
 		w.g.Expect(w.version()).To(BeZero())
 		m.list.Store(&store.List{Revision: 40, KVs: []store.KV{{Key: "op/doc", Value: []byte("v9"), Revision: 33}, {Key: "srv/a", Value: []byte("at 1"), Revision: 20}}})
 		time.Sleep(time.Second)
-		w.g.Expect(w.version()).To(Equal(int64(9)), "a front that starts without the store asks others")
+		w.g.Expect(w.version()).To(Equal(int64(9)), "a front that starts without the store gets the view of another front")
 		w.g.Expect(w.has("a")).To(BeTrue())
 		m.list.Store(&store.List{Revision: 30, KVs: []store.KV{{Key: "op/doc", Value: []byte("v8"), Revision: 21}}})
 		time.Sleep(2 * time.Second)
-		w.g.Expect(w.version()).To(Equal(int64(9)), "an older view is not taken over")
+		w.g.Expect(w.version()).To(Equal(int64(9)), "an older view is not applied")
 	})
 }
--- a/internal/plat/follow/state.go
+++ b/internal/plat/follow/state.go
@@ -10,17 +10,17 @@
 	"foxtailcroft/internal/plat/store"
 )
 
-// The keys of the project's own in the store.
+// Keys in the store that foxtailcroft itself writes.
 const (
-	// OwnPrefix is before all of them.
+	// OwnPrefix is the common prefix of these keys.
 	OwnPrefix = "foxtailcroft/"
-	// FrontPrefix is before the fronts' registrations, which lapse with their leases.
+	// FrontPrefix is the prefix of the fronts' registrations, which expire with their leases.
 	FrontPrefix = OwnPrefix + "fronts/"
-	// PlannerKey names the front that gives orders; the revision at which it was written is the fencing number.
+	// PlannerKey holds the front with the planner role; the key's revision is the fencing token.
 	PlannerKey = OwnPrefix + "planner"
 )
 
-// Front is another process of the site.
+// Front is a registered front process of the site.
 type Front struct {
 	Name    string
 	Address string
@@ -28,13 +28,13 @@
 	Run string
 }
 
-// Planner is the front that gives orders, and its fencing number.
+// Planner is the front with the planner role, and its fencing token.
 type Planner struct {
 	Front
 	Fence int64
 }
 
-// State is one view of the site; it does not change.
+// State is an immutable view of the site at one store revision.
 type State struct {
 	Revision  int64
 	Keys      map[string]store.KV
@@ -42,15 +42,15 @@
 	Instances map[string]site.Instance
 	Fronts    map[string]Front
 	Planner   *Planner
-	next      chan struct{}
+	replaced  chan struct{}
 }
 
-// Next is closed when a newer state replaces this one.
+// Next returns a channel that is closed when a newer state replaces this one.
 func (s *State) Next() <-chan struct{} {
-	return s.next
+	return s.replaced
 }
 
-// Serving returns the instances of a service that take new requests, ordered by id.
+// Serving returns the instances of a service that accept new requests, sorted by ID.
 func (s *State) Serving(service string) []site.Instance {
 	var out []site.Instance
 	for _, in := range s.Instances {
@@ -62,28 +62,28 @@
 	return out
 }
 
-// Decoder reads what the operator and the instances write.
+// Decoder decodes the operator's document and the instances' announcements.
 type Decoder interface {
 	Document(data []byte) (*site.Document, error)
 	Instance(key string, data []byte, revision int64) (site.Instance, error)
 }
 
-// Layout says where in the store things lie.
+// Layout gives the keys and prefixes of the site in the store.
 type Layout struct {
 	DocumentKey    string
 	InstancePrefix string
-	// Prefixes are all that is read.
+	// Prefixes lists all prefixes to read.
 	Prefixes []string
 }
 
-// derive returns the state after changes of keys; what did not change is taken over.
-func (f *Follower) derive(old *State, keys map[string]store.KV, revision int64) *State {
-	s := &State{Revision: revision, Keys: keys, Document: old.Document, Instances: map[string]site.Instance{}, Fronts: map[string]Front{}, next: make(chan struct{})}
-	f.document(old, s)
+// deriveState returns the state for keys, reusing what is unchanged from old.
+func (f *Follower) deriveState(old *State, keys map[string]store.KV, revision int64) *State {
+	s := &State{Revision: revision, Keys: keys, Document: old.Document, Instances: map[string]site.Instance{}, Fronts: map[string]Front{}, replaced: make(chan struct{})}
+	f.decodeDocument(old, s)
 	for key, kv := range keys {
 		switch {
 		case strings.HasPrefix(key, f.layout.InstancePrefix):
-			f.instance(old, s, kv)
+			f.decodeInstance(old, s, kv)
 		case strings.HasPrefix(key, FrontPrefix):
 			var front Front
 			if err := json.Unmarshal(kv.Value, &front); err == nil {
@@ -100,8 +100,8 @@
 	return s
 }
 
-// document decodes the operator's document if it changed; an older version never replaces a newer one.
-func (f *Follower) document(old, s *State) {
+// decodeDocument decodes the operator's document if it changed; an older version never replaces a newer one.
+func (f *Follower) decodeDocument(old, s *State) {
 	kv, ok := s.Keys[f.layout.DocumentKey]
 	if !ok || kv.Revision == old.Keys[f.layout.DocumentKey].Revision {
 		return
@@ -116,10 +116,10 @@
 		return
 	}
 	s.Document = doc
-	f.log.Infow("document in force", "Version", doc.Version, "Revision", kv.Revision, "Routes", len(doc.Routes))
+	f.log.Infow("document applied", "Version", doc.Version, "Revision", kv.Revision, "Routes", len(doc.Routes))
 }
 
-func (f *Follower) instance(old, s *State, kv store.KV) {
+func (f *Follower) decodeInstance(old, s *State, kv store.KV) {
 	id := strings.TrimPrefix(kv.Key, f.layout.InstancePrefix)
 	before, known := old.Instances[id]
 	if known && before.Seen == kv.Revision {
@@ -139,8 +139,8 @@
 	}
 }
 
-// gone logs the instances that a new state lacks.
-func (f *Follower) gone(old, s *State) {
+// logRemoved logs the instances that are in old but not in s.
+func (f *Follower) logRemoved(old, s *State) {
 	for id, in := range old.Instances {
 		if _, ok := s.Instances[id]; !ok {
 			f.log.Infow("instance gone", "Instance", id, "Born", in.Born, "Service", in.Service, "Revision", s.Revision)
@@ -148,8 +148,8 @@
 	}
 }
 
-// withEvents returns the keys after events, each key moving only forward.
-func withEvents(keys map[string]store.KV, events []store.Event) map[string]store.KV {
+// applyEvents returns a copy of keys with the events applied; events not newer than their key are ignored.
+func applyEvents(keys map[string]store.KV, events []store.Event) map[string]store.KV {
 	out := maps.Clone(keys)
 	for _, e := range events {
 		if have, ok := out[e.Key]; ok && have.Revision >= e.Revision {
--- a/internal/plat/ledger/doc.go
+++ b/internal/plat/ledger/doc.go
@@ -1,2 +1,2 @@
-// Package ledger writes configuration together with its audit record, and settles writes whose answer was lost.
+// Package ledger writes each configuration change in one transaction with its audit record, and resolves writes whose response was lost.
 package ledger
--- a/internal/plat/ledger/ledger.go
+++ b/internal/plat/ledger/ledger.go
@@ -17,39 +17,39 @@
 const (
 	// Retention is how long the store keeps audit records; the log keeps them all.
 	Retention = 7 * 24 * time.Hour
-	// leaseFor is how long one lease takes new records; each record lives at least Retention.
-	leaseFor = 6 * time.Hour
+	// leaseReusePeriod is how long new records share one lease; its TTL adds Retention, so that each record lives at least that long.
+	leaseReusePeriod = 6 * time.Hour
 )
 
-// Change is one write of a configuration key.
+// Change is a write or deletion of one configuration key.
 type Change struct {
 	// Key is the key without the store's prefix.
 	Key string
-	// Before and After are the values; a nil After deletes the key.
+	// Before and After are the old and the new value; a nil After deletes the key.
 	Before []byte
 	After  []byte
-	// From is the revision that the key must be at; 0 for a key that must not exist.
+	// From is the expected revision of the key; 0 if the key must not exist.
 	From   int64
 	Actor  string
 	Action string
 }
 
-// Ledger writes changes and keeps the lease of their audit records.
+// Ledger writes changes and manages the lease of their audit records.
 type Ledger struct {
 	store store.Store
-	// Note is told of each accepted change.
-	note     func(audit.Record)
-	mu       sync.Mutex
-	lease    int64
-	leaseEnd time.Time
+	// onAccepted is called with the record of each accepted change.
+	onAccepted    func(audit.Record)
+	mu            sync.Mutex
+	lease         int64
+	leaseReuseEnd time.Time
 }
 
-// New returns a ledger; note is called with the record of each accepted change.
-func New(s store.Store, note func(audit.Record)) *Ledger {
-	return &Ledger{store: s, note: note}
+// New returns a ledger; onAccepted is called with the record of each accepted change.
+func New(s store.Store, onAccepted func(audit.Record)) *Ledger {
+	return &Ledger{store: s, onAccepted: onAccepted}
 }
 
-// Write commits a change and returns its revision; a key at another revision gives a *fault.Conflict.
+// Write commits a change and returns its revision; if the key is not at Change.From, the error is a *fault.Conflict.
 func (l *Ledger) Write(ctx context.Context, c Change) (int64, error) {
 	lease, err := l.currentLease(ctx)
 	if err != nil {
@@ -76,14 +76,14 @@
 		return 0, err
 	}
 	if !res.Succeeded {
-		return 0, conflict(c, res)
+		return 0, conflictError(c, res)
 	}
 	record.To = res.Revision
-	l.note(record)
+	l.onAccepted(record)
 	return res.Revision, nil
 }
 
-func conflict(c Change, res store.Result) error {
+func conflictError(c Change, res store.Result) error {
 	out := &fault.Conflict{Key: c.Key, Expected: c.From}
 	for _, kv := range res.Found {
 		if kv.Key == store.StatePrefix+c.Key {
@@ -93,32 +93,32 @@
 	return out
 }
 
-// currentLease returns the lease of new audit records.
+// currentLease returns the lease for new audit records, granting a new one after leaseReusePeriod.
 func (l *Ledger) currentLease(ctx context.Context) (int64, error) {
 	l.mu.Lock()
-	lease, end := l.lease, l.leaseEnd
+	lease, end := l.lease, l.leaseReuseEnd
 	l.mu.Unlock()
 	if lease != 0 && time.Now().Before(end) {
 		return lease, nil
 	}
-	lease, err := l.store.Grant(ctx, Retention+leaseFor)
+	lease, err := l.store.Grant(ctx, Retention+leaseReusePeriod)
 	if err != nil {
 		return 0, err
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.lease, l.leaseEnd = lease, time.Now().Add(leaseFor)
+	l.lease, l.leaseReuseEnd = lease, time.Now().Add(leaseReusePeriod)
 	return lease, nil
 }
 
-// Filter selects audit records; zero fields select all.
+// Filter selects audit records; a zero field matches all.
 type Filter struct {
 	Since time.Time
-	// Prefix is the start of the key, such as "Model/".
+	// Prefix is a prefix of the key, such as "Model/".
 	Prefix string
 }
 
-// Records returns the audit records that the store still has, oldest first.
+// Records returns the audit records that have not expired, oldest first.
 func (l *Ledger) Records(ctx context.Context, f Filter) ([]audit.Record, error) {
 	list, err := l.store.Range(ctx, store.AuditPrefix)
 	if err != nil {
--- a/internal/plat/store/client.go
+++ b/internal/plat/store/client.go
@@ -19,28 +19,28 @@
 const (
 	// callTimeout bounds every call but a watch.
 	callTimeout = 1500 * time.Millisecond
-	// watchWindow bounds one watch call, so that a silent connection is replaced.
+	// watchWindow is the maximum duration of one watch call, so that a dead connection is replaced.
 	watchWindow = 3 * time.Second
-	// maxReply bounds the bytes read of one answer.
-	maxReply = 64 << 20
+	// maxReplyBytes limits how much of a response is read.
+	maxReplyBytes = 64 << 20
 )
 
-// Client reaches the store over HTTP. Its calls stay under a rate budget.
+// Client is an HTTP client of the store with a client-side rate limit.
 type Client struct {
-	base   string
-	http   *http.Client
-	budget *rate.Limiter
-	calls  *metrics.Counter
-	failed *metrics.Counter
+	base        string
+	http        *http.Client
+	limiter     *rate.Limiter
+	calls       *metrics.Counter
+	failedCalls *metrics.Counter
 }
 
-// NewClient returns a client of the store at base URL; callsPerSecond is its budget.
+// NewClient returns a client of the store at the base URL, limited to callsPerSecond.
 func NewClient(base string, transport http.RoundTripper, callsPerSecond float64, set *metrics.Set) *Client {
 	return &Client{
 		base: base, http: &http.Client{Transport: transport},
-		budget: rate.NewLimiter(rate.Limit(callsPerSecond), max(1, int(callsPerSecond))),
-		calls:  set.GetOrCreateCounter("foxtailcroft_store_calls_total"),
-		failed: set.GetOrCreateCounter("foxtailcroft_store_failed_calls_total"),
+		limiter:     rate.NewLimiter(rate.Limit(callsPerSecond), max(1, int(callsPerSecond))),
+		calls:       set.GetOrCreateCounter("foxtailcroft_store_calls_total"),
+		failedCalls: set.GetOrCreateCounter("foxtailcroft_store_failed_calls_total"),
 	}
 }
 
@@ -55,7 +55,7 @@
 	Lease       int64  `json:"lease,string,omitempty"`
 }
 
-func (k wireKV) kv() KV {
+func (k wireKV) toKV() KV {
 	return KV{Key: string(k.Key), Value: k.Value, Revision: k.ModRevision, Lease: k.Lease}
 }
 
@@ -90,7 +90,7 @@
 	}
 	list := List{Revision: reply.Header.Revision}
 	for _, kv := range reply.KVs {
-		list.KVs = append(list.KVs, kv.kv())
+		list.KVs = append(list.KVs, kv.toKV())
 	}
 	return list, nil
 }
@@ -145,7 +145,7 @@
 			continue
 		}
 		for _, kv := range r.Range.KVs {
-			res.Found = append(res.Found, kv.kv())
+			res.Found = append(res.Found, kv.toKV())
 		}
 	}
 	return res, nil
@@ -196,7 +196,7 @@
 	} `json:"result"`
 }
 
-// Watch streams changes in windows of watchWindow; a window that ends without an error continues after the last batch.
+// Watch streams changes in consecutive calls of at most watchWindow, each continuing after the last batch.
 func (c *Client) Watch(ctx context.Context, prefix string, after int64, fn func(Batch) error) error {
 	for ctx.Err() == nil {
 		next, err := c.watchOnce(ctx, prefix, after, fn)
@@ -208,7 +208,7 @@
 	return ctx.Err()
 }
 
-// watchOnce runs one watch window and returns the revision to continue after.
+// watchOnce makes one watch call and returns the revision to continue after.
 func (c *Client) watchOnce(ctx context.Context, prefix string, after int64, fn func(Batch) error) (int64, error) {
 	window, cancel := context.WithTimeout(ctx, watchWindow)
 	defer cancel()
@@ -233,7 +233,7 @@
 		}
 		batch := Batch{Revision: reply.Result.Header.Revision}
 		for _, e := range reply.Result.Events {
-			batch.Events = append(batch.Events, Event{KV: e.KV.kv(), Deleted: e.Type == "DELETE"})
+			batch.Events = append(batch.Events, Event{KV: e.KV.toKV(), Deleted: e.Type == "DELETE"})
 		}
 		if len(batch.Events) == 0 {
 			continue
@@ -245,7 +245,7 @@
 	}
 }
 
-// call posts one request within callTimeout and decodes its answer.
+// call posts one request with callTimeout and decodes the response.
 func (c *Client) call(ctx context.Context, path string, req, reply any) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -254,17 +254,17 @@
 		return err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxReply)).Decode(reply); err != nil {
-		c.failed.Inc()
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxReplyBytes)).Decode(reply); err != nil {
+		c.failedCalls.Inc()
 		return &fault.Away{Part: "store", Err: err, Unsettled: true}
 	}
 	return nil
 }
 
-// post sends one request within the rate budget and checks the status.
+// post sends one request under the rate limit; a status other than 200 is an error.
 func (c *Client) post(ctx context.Context, path string, req any) (*http.Response, error) {
-	if err := c.budget.Wait(ctx); err != nil {
-		return nil, &fault.Away{Part: "store", Err: fmt.Errorf("call budget: %w", err)}
+	if err := c.limiter.Wait(ctx); err != nil {
+		return nil, &fault.Away{Part: "store", Err: fmt.Errorf("waiting for the client's rate limit: %w", err)}
 	}
 	c.calls.Inc()
 	body, err := json.Marshal(req)
@@ -278,11 +278,11 @@
 	r.Header.Set("Content-Type", "application/json")
 	resp, err := c.http.Do(r)
 	if err != nil {
-		c.failed.Inc()
+		c.failedCalls.Inc()
 		return nil, &fault.Away{Part: "store", Err: err, Unsettled: true}
 	}
 	if resp.StatusCode != http.StatusOK {
-		c.failed.Inc()
+		c.failedCalls.Inc()
 		text, _ := io.ReadAll(io.LimitReader(resp.Body, 512))
 		err := errors.Join(fmt.Errorf("%s answered %s: %s", path, resp.Status, text), resp.Body.Close())
 		return nil, &fault.Away{Part: "store", Err: err, Unsettled: resp.StatusCode >= http.StatusInternalServerError}
--- a/internal/plat/store/doc.go
+++ b/internal/plat/store/doc.go
@@ -1,2 +1,2 @@
-// Package store speaks to the platform's key-value service in the JSON form of the etcd v3 interface.
+// Package store is a client of the platform's key-value service over the JSON gateway of the etcd v3 API.
 package store
--- a/internal/plat/store/keys.go
+++ b/internal/plat/store/keys.go
@@ -1,10 +1,10 @@
 package store
 
-// The prefixes under which the system keeps its keys.
+// Key prefixes in the store.
 const (
-	// StatePrefix holds the configuration that spreads to every node.
+	// StatePrefix holds the configuration that is distributed to every node.
 	StatePrefix = "foxtailcroft/state/"
-	// AuditPrefix holds the audit records, bound to leases.
+	// AuditPrefix holds the audit records, which expire with their leases.
 	AuditPrefix = "foxtailcroft/audit/"
 	// ClaimPrefix holds the claim logs of idempotency keys.
 	ClaimPrefix = "foxtailcroft/claims/"
--- a/internal/plat/store/store.go
+++ b/internal/plat/store/store.go
@@ -18,19 +18,19 @@
 	Lease    int64
 }
 
-// List is what the store held under a prefix at a revision.
+// List holds the keys under a prefix at a revision.
 type List struct {
 	Revision int64
 	KVs      []KV
 }
 
-// Compare demands that a key was last changed at a revision; 0 demands that it does not exist.
+// Compare requires that the last change of a key was at Revision; 0 requires that the key does not exist.
 type Compare struct {
 	Key      string
 	Revision int64
 }
 
-// Put writes a key, bound to a lease unless Lease is 0.
+// Put writes a key, attached to a lease unless Lease is 0.
 type Put struct {
 	Key   string
 	Value []byte
@@ -44,11 +44,11 @@
 	Deletes []string
 }
 
-// Result tells whether a transaction applied and at which revision.
+// Result reports whether a transaction was applied and at which revision.
 type Result struct {
 	Succeeded bool
 	Revision  int64
-	// Found holds the compared keys as they stood if the transaction did not apply.
+	// Found holds the current values of the compared keys if the transaction was not applied.
 	Found []KV
 }
 
@@ -58,18 +58,18 @@
 	Deleted bool
 }
 
-// Batch is a set of events; the watch has seen all changes up to Revision.
+// Batch is a set of events; it completes all changes up to Revision.
 type Batch struct {
 	Revision int64
 	Events   []Event
 }
 
-// Store is the key-value service as the system uses it. Calls that get no
-// answer return *fault.Away, with Unsettled set where a write may have applied.
+// Store is the key-value service. Calls without a response return *fault.Away,
+// with Unsettled set if a write may have been applied.
 type Store interface {
-	// Range returns the keys with a prefix, linearizably.
+	// Range returns the keys with a prefix from a linearizable read.
 	Range(ctx context.Context, prefix string) (List, error)
-	// Get returns one key, linearizably; ok is false if it does not exist.
+	// Get returns one key from a linearizable read; ok is false if it does not exist.
 	Get(ctx context.Context, key string) (kv KV, ok bool, err error)
 	// Commit runs a transaction.
 	Commit(ctx context.Context, t Txn) (Result, error)
@@ -77,33 +77,33 @@
 	Grant(ctx context.Context, ttl time.Duration) (int64, error)
 	// KeepAlive renews a lease; ok is false if the lease has expired.
 	KeepAlive(ctx context.Context, lease int64) (ok bool, err error)
-	// Watch calls fn for changes under the prefix after a revision, until fn or the context ends it.
+	// Watch calls fn with the changes under the prefix after a revision, until fn returns an error or ctx is done.
 	Watch(ctx context.Context, prefix string, after int64, fn func(Batch) error) error
 }
 
-// Compacted reports a watch from a revision whose following changes the store no longer has.
+// Compacted is the error of a watch from a revision whose later changes the store has compacted.
 type Compacted struct {
 	Revision int64
 }
 
-// Error names the revision.
+// Error returns a message with the revision.
 func (c *Compacted) Error() string {
 	return fmt.Sprintf("changes up to revision %d are compacted", c.Revision)
 }
 
 const (
-	settleFirstPause = 50 * time.Millisecond
-	settleMaxPause   = time.Second
+	settleInitialInterval = 50 * time.Millisecond
+	settleMaxInterval     = time.Second
 )
 
-// Settle commits a transaction and finds out what became of it when its answer
-// is lost. The witness is a key that only this transaction creates; finding it
-// proves that the transaction applied.
+// Settle commits a transaction and retries while the outcome is unknown because
+// a response was lost. The witness is a key that only this transaction creates;
+// finding it proves that an earlier attempt was applied.
 func Settle(ctx context.Context, s Store, t Txn, witness string) (Result, error) {
 	t.If = append([]Compare{{Key: witness}}, t.If...)
 	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval = settleFirstPause
-	pause.MaxInterval = settleMaxPause
+	pause.InitialInterval = settleInitialInterval
+	pause.MaxInterval = settleMaxInterval
 	unsettled := false
 	return backoff.Retry(ctx, func() (Result, error) {
 		res, err := s.Commit(ctx, t)
