--- a/internal/back/conns/conn.go
+++ b/internal/back/conns/conn.go
@@ -11,20 +11,20 @@
 // conn is one connection to an instance.
 type conn struct {
 	net.Conn
-	in    *bufio.Reader
-	until time.Time
+	reader        *bufio.Reader
+	reuseDeadline time.Time
 }
 
-// readBuffer fits the events of a stream; bodies pass through it in pieces.
-const readBuffer = 4 << 10
+// readBufferBytes is large enough for one event of a stream; longer bodies are read in several pieces.
+const readBufferBytes = 4 << 10
 
 func newConn(raw net.Conn) *conn {
-	return &conn{Conn: raw, in: bufio.NewReaderSize(raw, readBuffer)}
+	return &conn{Conn: raw, reader: bufio.NewReaderSize(raw, readBufferBytes)}
 }
 
-// quiet reports whether the connection is open and nothing has arrived on it since the last answer.
-func (c *conn) quiet() bool {
-	if c.in.Buffered() > 0 {
+// isIdle reports whether the connection is open and no bytes have arrived since the last response.
+func (c *conn) isIdle() bool {
+	if c.reader.Buffered() > 0 {
 		return false
 	}
 	sys, ok := c.Conn.(syscall.Conn)
@@ -45,7 +45,7 @@
 	return err == nil && idle
 }
 
-// close ends the connection; a connection that is closed already has nothing left to end.
+// close closes the connection; errors are ignored, as it may be closed already.
 func (c *conn) close() {
 	_ = c.Conn.Close()
 }
--- a/internal/back/conns/conns_test.go
+++ b/internal/back/conns/conns_test.go
@@ -16,17 +16,17 @@
 	"github.com/sourcegraph/conc"
 )
 
-// script is a server that reads a request and then writes bytes as they are.
-type script struct {
+// scriptedServer reads a request and then writes the next scripted bytes.
+type scriptedServer struct {
 	group conc.WaitGroup
 	dials int
-	// answers are written, one to each request on a connection; after the last one it is closed.
+	// answers holds the bytes written for each request on a connection; after the last one the connection is closed.
 	answers []string
 	// refuse fails every dial.
 	refuse bool
 }
 
-func (s *script) dial(context.Context, string) (net.Conn, error) {
+func (s *scriptedServer) dial(context.Context, string) (net.Conn, error) {
 	if s.refuse {
 		return nil, errors.New("connection refused")
 	}
@@ -64,7 +64,7 @@
 		name   string
 		answer string
 		body   string
-		// failed says that no answer counts, and cut that its body ends short.
+		// failed expects that no response is accepted, cut that the body ends early.
 		failed, cut bool
 		reusable    bool
 	}{
@@ -86,13 +86,13 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				s := &script{answers: []string{c.answer}}
+				s := &scriptedServer{answers: []string{c.answer}}
 				p, closePool := New(s.dial, metrics.NewSet())
 				res, err := p.Do(t.Context(), Target{}, request("a"))
 				if c.failed {
 					var f *Failure
 					g.Expect(errors.As(err, &f)).To(BeTrue())
-					g.Expect(f.Sent).To(BeTrue(), "what was written may have run")
+					g.Expect(f.Sent).To(BeTrue(), "a written request may have run")
 				} else {
 					g.Expect(err).NotTo(HaveOccurred())
 					data, err := io.ReadAll(res.Body)
@@ -108,9 +108,9 @@
 	}
 }
 
-func TestNothingIsSentOnARefusedConnection(t *testing.T) {
+func TestRefusedConnectionReportsNothingSent(t *testing.T) {
 	g := NewWithT(t)
-	p, closePool := New((&script{refuse: true}).dial, metrics.NewSet())
+	p, closePool := New((&scriptedServer{refuse: true}).dial, metrics.NewSet())
 	defer closePool()
 	_, err := p.Do(t.Context(), Target{}, request("a"))
 	var f *Failure
@@ -118,7 +118,7 @@
 	g.Expect(f.Sent).To(BeFalse())
 }
 
-// TestConnectionsAreReusedWhileTheServerKeepsThem goes by the idle time that the server states.
+// TestConnectionsAreReusedWhileTheServerKeepsThem checks that reuse follows the server's Keep-Alive timeout less idleMargin.
 func TestConnectionsAreReusedWhileTheServerKeepsThem(t *testing.T) {
 	cases := []struct {
 		name      string
@@ -137,7 +137,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
 				a := answer("a", c.keepAlive+"Content-Length: 4\r\n", "mine")
-				s := &script{answers: []string{a, a}}
+				s := &scriptedServer{answers: []string{a, a}}
 				p, closePool := New(s.dial, metrics.NewSet())
 				for range 2 {
 					res, err := p.Do(t.Context(), Target{}, request("a"))
@@ -153,10 +153,10 @@
 	}
 }
 
-func TestTheEndOfTheContextClosesTheConnection(t *testing.T) {
+func TestContextCancellationClosesTheConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		s := &script{answers: []string{answer("a", "Content-Length: 400\r\n", "mine"), ""}}
+		s := &scriptedServer{answers: []string{answer("a", "Content-Length: 400\r\n", "mine"), ""}}
 		p, closePool := New(s.dial, metrics.NewSet())
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
@@ -170,7 +170,7 @@
 	})
 }
 
-func TestRequestsAreWrittenAsTheyAre(t *testing.T) {
+func TestEncodedRequestKeepsURIAndBody(t *testing.T) {
 	g := NewWithT(t)
 	text := string(request("a").encode())
 	g.Expect(text).To(HavePrefix("POST /p/x?q=1 HTTP/1.1\r\nHost: h.example\r\nContent-Length: 4\r\n"))
@@ -179,14 +179,14 @@
 	g.Expect(string(get.encode())).To(Equal("GET / HTTP/1.1\r\nHost: h\r\n\r\n"))
 }
 
-// FuzzAnswer lets a server write anything: an answer that counts is always the request's own.
+// FuzzAnswer checks that, whatever bytes a server writes, an accepted response belongs to the request.
 func FuzzAnswer(f *testing.F) {
 	f.Add(answer("a", "Content-Length: 4\r\n", "mine"))
 	f.Add(answer("z", "Content-Length: 4\r\n", "mine") + answer("a", "", ""))
 	f.Add("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n")
 	f.Fuzz(func(t *testing.T, text string) {
 		c := newConn(&fakeConn{Reader: strings.NewReader(text)})
-		res, err := c.answer(request("a"))
+		res, err := c.readOwnResponse(request("a"))
 		if err != nil {
 			return
 		}
--- a/internal/back/conns/dial.go
+++ b/internal/back/conns/dial.go
@@ -10,27 +10,27 @@
 )
 
 const (
-	// probeInterval and probeCount set how soon a silent connection is found dead.
+	// probeInterval and probeCount bound how long a dead connection goes undetected.
 	probeInterval = time.Second
 	probeCount    = 2
-	// unacknowledged bounds how long sent bytes may stay unacknowledged.
-	unacknowledged = 2500 * time.Millisecond
+	// maxUnacknowledgedTime bounds how long sent bytes may stay unacknowledged (TCP_USER_TIMEOUT).
+	maxUnacknowledgedTime = 2500 * time.Millisecond
 )
 
-// KeepAlive probes idle connections, so that a silent one is noticed.
+// KeepAlive configures TCP keep-alive probes, which detect dead idle connections.
 var KeepAlive = net.KeepAliveConfig{Enable: true, Idle: probeInterval, Interval: probeInterval, Count: probeCount}
 
-// TCP dials over TCP with probes and a bound on unacknowledged bytes.
+// TCP dials over IPv4 with keep-alive probes and TCP_USER_TIMEOUT.
 func TCP(ctx context.Context, address string) (net.Conn, error) {
 	d := net.Dialer{KeepAliveConfig: KeepAlive, Control: Control}
 	return d.DialContext(ctx, "tcp4", address)
 }
 
-// Control sets the bound on unacknowledged bytes on a socket.
+// Control sets TCP_USER_TIMEOUT on a socket; it fits net.Dialer.Control.
 func Control(_, _ string, raw syscall.RawConn) error {
 	var err error
 	if controlErr := raw.Control(func(fd uintptr) {
-		err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unacknowledged.Milliseconds()))
+		err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(maxUnacknowledgedTime.Milliseconds()))
 	}); controlErr != nil {
 		return controlErr
 	}
--- a/internal/back/conns/doc.go
+++ b/internal/back/conns/doc.go
@@ -1,3 +1,3 @@
-// Package conns sends single HTTP requests to instances over connections of
-// its own, so that nothing is ever sent twice without the caller's decision.
+// Package conns sends single HTTP/1.1 requests to instances over its own
+// connection pool, which, unlike net/http, never resends a request by itself.
 package conns
--- a/internal/back/conns/exchange.go
+++ b/internal/back/conns/exchange.go
@@ -11,34 +11,34 @@
 )
 
 const (
-	// maxForeign bounds the answers to other requests that are skipped before the own one.
-	maxForeign = 3
-	// afterFailedWrite is how long an answer is awaited that an instance may have sent before it stopped reading.
-	afterFailedWrite = 300 * time.Millisecond
+	// maxForeignResponses bounds the heads read for one request, including skipped responses to other requests.
+	maxForeignResponses = 3
+	// failedWriteReadTimeout bounds the wait for a response that the instance may have sent before it stopped reading.
+	failedWriteReadTimeout = 300 * time.Millisecond
 )
 
 // Request is one request to an instance.
 type Request struct {
 	Method string
-	// URI is sent as it is.
+	// URI is the request target, sent unchanged.
 	URI    string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Mine reports whether an answer is for this request and not a late one for another.
+	// Mine reports whether a response belongs to this request rather than to an earlier one; nil accepts any.
 	Mine func(http.Header) bool
-	// Fresh demands a new connection.
+	// Fresh requires a new connection.
 	Fresh bool
 }
 
-// Failure reports an exchange without an answer.
+// Failure is the error of a request without a response.
 type Failure struct {
-	// Sent is false only if nothing of the request can have reached the instance.
+	// Sent is false only if no byte of the request can have reached the instance.
 	Sent bool
 	Err  error
 }
 
-// Error names the cause.
+// Error returns a message with Sent and the cause.
 func (f *Failure) Error() string {
 	return fmt.Sprintf("no answer (sent: %t): %v", f.Sent, f.Err)
 }
@@ -48,27 +48,28 @@
 	return f.Err
 }
 
-// Response is an answer of which the body is still to be read.
+// Response is a response whose body has not been read; end it with Done or Discard.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   io.Reader
-	// Framed is false if only the connection's end marks the body's.
-	Framed bool
-	pool   *Pool
-	target Target
-	conn   *conn
-	stop   func() bool
-	close  bool
+	// Framed is false if the body ends only with the connection.
+	Framed           bool
+	pool             *Pool
+	target           Target
+	conn             *conn
+	stopContextClose func() bool
+	closeRequested   bool
 }
 
-// Do sends a request once and returns the head of its answer; the error is a
-// *Failure. The end of ctx closes the connection, also while the body is read.
+// Do sends a request once and returns its response with the body unread; errors
+// are *Failure. When ctx is done, the connection is closed, also while the body
+// is being read.
 func (p *Pool) Do(ctx context.Context, t Target, r *Request) (*Response, error) {
-	c := p.connection(t, r)
+	c := p.idleConnection(t, r)
 	if c == nil {
 		var err error
-		if c, err = p.open(ctx, t); err != nil {
+		if c, err = p.dialTarget(ctx, t); err != nil {
 			return nil, &Failure{Err: err}
 		}
 	}
@@ -81,43 +82,43 @@
 	}
 	return &Response{
 		Status: res.StatusCode, Header: res.Header, Body: res.Body, Framed: res.ContentLength >= 0 || len(res.TransferEncoding) > 0,
-		pool: p, target: t, conn: c, stop: stop, close: res.Close,
+		pool: p, target: t, conn: c, stopContextClose: stop, closeRequested: res.Close,
 	}, nil
 }
 
-func (p *Pool) connection(t Target, r *Request) *conn {
+func (p *Pool) idleConnection(t Target, r *Request) *conn {
 	if r.Fresh {
 		return nil
 	}
-	c := p.take(t)
+	c := p.takeIdle(t)
 	if c != nil {
 		p.reused.Inc()
 	}
 	return c
 }
 
-// exchange writes the request and reads the head of its answer.
+// exchange writes the request and reads the head of its response; sent is false if nothing was written.
 func (c *conn) exchange(r *Request) (res *http.Response, sent bool, err error) {
 	n, writeErr := c.Write(r.encode())
 	if writeErr != nil && n == 0 {
 		return nil, false, writeErr
 	}
 	if writeErr != nil {
-		if err := c.SetReadDeadline(time.Now().Add(afterFailedWrite)); err != nil {
+		if err := c.SetReadDeadline(time.Now().Add(failedWriteReadTimeout)); err != nil {
 			return nil, true, writeErr
 		}
 	}
-	res, err = c.answer(r)
+	res, err = c.readOwnResponse(r)
 	if err == nil && writeErr != nil {
 		res.Close = true
 	}
 	return res, true, err
 }
 
-// answer reads heads until one is the request's own.
-func (c *conn) answer(r *Request) (*http.Response, error) {
-	for range maxForeign {
-		res, err := http.ReadResponse(c.in, &http.Request{Method: r.Method})
+// readOwnResponse skips informational responses and those to other requests.
+func (c *conn) readOwnResponse(r *Request) (*http.Response, error) {
+	for range maxForeignResponses {
+		res, err := http.ReadResponse(c.reader, &http.Request{Method: r.Method})
 		if err != nil {
 			return nil, err
 		}
@@ -134,10 +135,10 @@
 			return nil, io.ErrUnexpectedEOF
 		}
 	}
-	return nil, fmt.Errorf("%d answers in a row belong to other requests", maxForeign)
+	return nil, fmt.Errorf("%d answers in a row belong to other requests", maxForeignResponses)
 }
 
-// encode returns the request as sent.
+// encode returns the request in HTTP/1.1 format.
 func (r *Request) encode() []byte {
 	var b bytes.Buffer
 	b.Grow(512 + len(r.Body))
@@ -152,21 +153,22 @@
 	return b.Bytes()
 }
 
-// Done ends the exchange; the connection is kept only if the body was read to
-// its end, nothing follows it, and neither side asked to close.
+// Done ends the exchange. The connection returns to the pool only if the body
+// was read to its end (whole), no bytes follow it, and neither side asked to
+// close.
 func (r *Response) Done(whole bool) {
-	if !r.stop() || !whole || r.close || !r.Framed || r.conn.in.Buffered() > 0 {
+	if !r.stopContextClose() || !whole || r.closeRequested || !r.Framed || r.conn.reader.Buffered() > 0 {
 		r.conn.close()
 		return
 	}
-	r.pool.put(r.target, r.conn, idleTime(r.Header.Get("Keep-Alive")))
+	r.pool.putIdle(r.target, r.conn, reuseTime(r.Header.Get("Keep-Alive")))
 }
 
-// maxDiscard bounds the body that is read only to keep the connection.
-const maxDiscard = 64 << 10
+// maxDiscardBytes bounds the body that Discard reads to keep the connection.
+const maxDiscardBytes = 64 << 10
 
-// Discard ends an exchange whose body is of no use.
+// Discard ends an exchange whose body is not needed.
 func (r *Response) Discard() {
-	n, err := io.Copy(io.Discard, io.LimitReader(r.Body, maxDiscard))
-	r.Done(err == nil && n < maxDiscard)
+	n, err := io.Copy(io.Discard, io.LimitReader(r.Body, maxDiscardBytes))
+	r.Done(err == nil && n < maxDiscardBytes)
 }
--- a/internal/back/conns/pool.go
+++ b/internal/back/conns/pool.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	// dialTimeout bounds a new connection: one lost opening packet is sent again after a second.
+	// dialTimeout bounds dialing; it allows for one lost SYN, which is retransmitted after a second.
 	dialTimeout = 1200 * time.Millisecond
-	// defaultIdle is how long a connection is reused if the instance states no timeout.
-	defaultIdle = 2 * time.Second
-	// idleMargin is kept from a stated idle timeout, for the way to the instance and a slow timer.
+	// defaultReuseTime is how long an idle connection stays reusable if the instance states no timeout.
+	defaultReuseTime = 2 * time.Second
+	// idleMargin is subtracted from a stated idle timeout, for network latency and a late timer.
 	idleMargin = 400 * time.Millisecond
 	// maxIdlePerInstance bounds the idle connections to one instance.
 	maxIdlePerInstance = 16
@@ -28,13 +28,13 @@
 // Dial opens a connection to an address.
 type Dial func(ctx context.Context, address string) (net.Conn, error)
 
-// Target is the instance that a request is for, and where it is.
+// Target is the instance that a request is for, and its address.
 type Target struct {
 	site.Key
 	Address string
 }
 
-// Pool keeps idle connections to instances.
+// Pool sends requests to instances and reuses idle connections.
 type Pool struct {
 	dial   Dial
 	now    func() time.Time
@@ -55,8 +55,8 @@
 	return p, p.close
 }
 
-// take returns an idle connection that is sure to stand for a while yet, or nil.
-func (p *Pool) take(t Target) *conn {
+// takeIdle removes and returns an idle connection that the instance should not close soon, or nil.
+func (p *Pool) takeIdle(t Target) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for {
@@ -66,23 +66,23 @@
 		}
 		c := list[len(list)-1]
 		p.idle[t] = list[:len(list)-1]
-		if p.now().Before(c.until) && c.quiet() {
+		if p.now().Before(c.reuseDeadline) && c.isIdle() {
 			return c
 		}
 		c.close()
 	}
 }
 
-// Connected reports whether an idle connection to a target is at hand.
+// Connected reports whether the pool has a reusable idle connection to a target.
 func (p *Pool) Connected(t Target) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
-	return slices.ContainsFunc(p.idle[t], func(c *conn) bool { return now.Before(c.until) })
+	return slices.ContainsFunc(p.idle[t], func(c *conn) bool { return now.Before(c.reuseDeadline) })
 }
 
-// open dials a new connection.
-func (p *Pool) open(ctx context.Context, t Target) (*conn, error) {
+// dialTarget opens a new connection within dialTimeout.
+func (p *Pool) dialTarget(ctx context.Context, t Target) (*conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	p.dials.Inc()
@@ -93,19 +93,19 @@
 	return newConn(raw), nil
 }
 
-// put keeps a connection for reuse until its idle time ends.
-func (p *Pool) put(t Target, c *conn, idle time.Duration) {
+// putIdle keeps a connection for reuse for the idle time, or closes it if the pool is closed or full.
+func (p *Pool) putIdle(t Target, c *conn, idle time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed || idle <= 0 || len(p.idle[t]) >= maxIdlePerInstance {
 		c.close()
 		return
 	}
-	c.until = p.now().Add(idle)
+	c.reuseDeadline = p.now().Add(idle)
 	p.idle[t] = append(p.idle[t], c)
 }
 
-// Sweep closes connections that have been idle for too long, and those to instances that keep rejects.
+// Sweep closes connections past their reuse time, and those to instances for which keep is false.
 func (p *Pool) Sweep(keep func(site.Key) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -113,7 +113,7 @@
 	for t, list := range p.idle {
 		var stay []*conn
 		for _, c := range list {
-			if keep(t.Key) && now.Before(c.until) {
+			if keep(t.Key) && now.Before(c.reuseDeadline) {
 				stay = append(stay, c)
 				continue
 			}
@@ -134,8 +134,8 @@
 	p.Sweep(func(site.Key) bool { return false })
 }
 
-// idleTime returns how long a connection may be reused after an answer with a Keep-Alive header.
-func idleTime(header string) time.Duration {
+// reuseTime returns how long a connection may be reused after a response with this Keep-Alive header.
+func reuseTime(header string) time.Duration {
 	for part := range strings.SplitSeq(header, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if !strings.EqualFold(name, "timeout") {
@@ -145,5 +145,5 @@
 			return time.Duration(n)*time.Second - idleMargin
 		}
 	}
-	return defaultIdle
+	return defaultReuseTime
 }
--- a/internal/back/engine/client.go
+++ b/internal/back/engine/client.go
@@ -15,13 +15,13 @@
 	"foxtailcroft/internal/core/fault"
 )
 
-// Client is the engine dialect over HTTP.
+// Client is an HTTP client of one engine.
 type Client struct {
 	base string
 	http *http.Client
 }
 
-// NewClient returns a client of the engine at base URL.
+// NewClient returns a client of the engine at the base URL.
 func NewClient(base string, transport http.RoundTripper) *Client {
 	return &Client{base: base, http: &http.Client{Transport: transport}}
 }
@@ -41,19 +41,19 @@
 	FreeBytes int64  `json:"free_bytes"`
 }
 
-// Load orders a load and waits until it has taken effect.
+// Load loads an item and returns once the engine holds it or has refused.
 func (c *Client) Load(ctx context.Context, o Order) error {
 	return c.order(ctx, "/v1/load", o)
 }
 
-// Unload orders an unload and waits until it has taken effect.
+// Unload unloads an item and returns once the engine has dropped it or has refused.
 func (c *Client) Unload(ctx context.Context, o Order) error {
 	return c.order(ctx, "/v1/unload", o)
 }
 
-// order repeats one order until the engine says that it is done or refused;
-// the engine joins repeats of a running order, so that a lost answer or a
-// silent connection costs one call's time.
+// order repeats an order until the engine reports it as done or refused. The
+// engine merges repeats of an order in progress, so a lost response or a dead
+// connection costs at most one call's timeout.
 func (c *Client) order(ctx context.Context, path string, o Order) error {
 	pause := backoff.NewExponentialBackOff()
 	pause.InitialInterval, pause.MaxInterval = 50*time.Millisecond, time.Second
@@ -69,7 +69,7 @@
 	return err
 }
 
-// orderOnce makes one order call; done is false while the engine still works on it.
+// orderOnce makes one order call; done is false while the order is in progress.
 func (c *Client) orderOnce(ctx context.Context, path string, o Order) (done bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
@@ -93,7 +93,7 @@
 		return false, nil
 	}
 	var p problemBody
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxProblem)).Decode(&p); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxProblemBytes)).Decode(&p); err != nil {
 		return false, &fault.Away{Part: "engine", Err: fmt.Errorf("%s answered %s", path, resp.Status), Unsettled: true}
 	}
 	switch resp.StatusCode {
@@ -106,8 +106,8 @@
 }
 
 const (
-	maxProblem = 64 << 10
-	maxReport  = 16 << 20
+	maxProblemBytes = 64 << 10
+	maxReportBytes  = 16 << 20
 )
 
 type reportBody struct {
@@ -123,7 +123,7 @@
 	} `json:"items"`
 }
 
-// Report asks the engine what it holds.
+// Report fetches the engine's memory, items and running requests.
 func (c *Client) Report(ctx context.Context) (Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
@@ -140,7 +140,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return Report{}, &fault.Away{Part: "engine", Err: fmt.Errorf("report answered %s", resp.Status)}
 	}
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxReport)).Decode(&body); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxReportBytes)).Decode(&body); err != nil {
 		return Report{}, &fault.Away{Part: "engine", Err: err}
 	}
 	r := Report{MemoryBytes: body.MemoryBytes, Running: body.Running, Cached: body.Cached}
--- a/internal/back/engine/doc.go
+++ b/internal/back/engine/doc.go
@@ -1,2 +1,2 @@
-// Package engine speaks to model engines: OpenAI chat completions with streaming, and load, unload and report calls.
+// Package engine is a client of model engines: streaming OpenAI chat completions, and load, unload and report calls.
 package engine
--- a/internal/back/engine/engine.go
+++ b/internal/back/engine/engine.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// Item names what an engine holds: a model, or an adapter on its base model.
+// Item identifies a model version, or an adapter version on its base model.
 type Item struct {
 	Model   string
 	Adapter string
 	Version string
 }
 
-// String writes model or model+adapter, at a version.
+// String returns model@version or model+adapter@version.
 func (i Item) String() string {
 	if i.Adapter != "" {
 		return i.Model + "+" + i.Adapter + "@" + i.Version
@@ -23,16 +23,16 @@
 }
 
 // Order tells an engine to load or unload an item. Fence is the epoch of the
-// agent that orders; engines that check it refuse a lower number than they saw.
+// ordering agent; engines that check it refuse a lower one than the highest seen.
 type Order struct {
 	Item  Item
 	Bytes int64
 	Fence int64
-	// Check is called before each message of the order is sent; an error ends the order. It may be nil.
+	// Check, if not nil, is called before each call of the order; a *Fenced error ends the order.
 	Check func(context.Context) error
 }
 
-// Allowed runs the order's Check.
+// Allowed calls Check; nil if there is none.
 func (o Order) Allowed(ctx context.Context) error {
 	if o.Check == nil {
 		return nil
@@ -40,7 +40,7 @@
 	return o.Check(ctx)
 }
 
-// Held is an item that an engine has or is about to have in its accelerator memory.
+// Held is an item that is loaded or loading into accelerator memory.
 type Held struct {
 	Item  Item
 	Bytes int64
@@ -48,23 +48,23 @@
 	Loading bool
 }
 
-// Report is what an engine tells of itself, some time late.
+// Report is an engine's report of its state, which may lag behind.
 type Report struct {
 	MemoryBytes int64
 	Held        []Held
 	Running     int
-	// Cached gives, by model, how near its checkpoint is: "memory" or "disk".
+	// Cached maps a model to where its checkpoint is cached: "memory" or "disk".
 	Cached map[string]string
 }
 
-// Request is one generation.
+// Request is a request for one generation.
 type Request struct {
 	Item Item
 	// Body is the caller's chat completion request.
 	Body json.RawMessage
 	// Priority orders requests inside the engine, 0 first.
 	Priority int
-	// SkipTokens and Prefix continue a generation that another replica began.
+	// SkipTokens and Prefix resume a generation that another replica began: the number of its tokens and their text.
 	SkipTokens int
 	Prefix     string
 }
@@ -75,8 +75,8 @@
 	Text  string
 }
 
-// Engine is a model engine as an agent uses it. Load and Unload return once
-// the order has taken effect, and repeating them is harmless.
+// Engine is a model engine. Load and Unload return once the order has taken
+// effect; they are idempotent.
 type Engine interface {
 	Load(ctx context.Context, o Order) error
 	Unload(ctx context.Context, o Order) error
@@ -85,55 +85,55 @@
 	Generate(ctx context.Context, r Request, fn func(Token) error) (finish string, err error)
 }
 
-// Fenced reports an order that carried an old fencing number.
+// Fenced is the error of an order with an outdated fencing token.
 type Fenced struct {
 	Given, Current int64
 }
 
-// Error names both numbers.
+// Error returns a message with both tokens.
 func (f *Fenced) Error() string {
 	return fmt.Sprintf("order with fencing number %d refused, the engine has seen %d", f.Given, f.Current)
 }
 
-// NoMemory reports a load that did not fit.
+// NoMemory is the error of a load that does not fit; Free is in bytes.
 type NoMemory struct {
 	Item Item
 	Free int64
 }
 
-// Error names the item and the free memory.
+// Error returns a message with the item and the free memory.
 func (n *NoMemory) Error() string {
 	return fmt.Sprintf("no accelerator memory for %s: %d bytes free", n.Item, n.Free)
 }
 
-// NotLoaded reports a generation on an item that the engine does not hold.
+// NotLoaded is the error of a generation on an item that the engine does not hold.
 type NotLoaded struct {
 	Item Item
 }
 
-// Error names the item.
+// Error returns a message with the item.
 func (n *NotLoaded) Error() string {
 	return fmt.Sprintf("%s is not loaded", n.Item)
 }
 
-// Rejected reports a request that the engine found invalid.
+// Rejected is the error of a request that the engine found invalid.
 type Rejected struct {
 	Status  int
 	Message string
 }
 
-// Error quotes the engine.
+// Error returns the engine's status and message.
 func (r *Rejected) Error() string {
 	return fmt.Sprintf("engine answered %d: %s", r.Status, r.Message)
 }
 
-// Broken reports a stream that ended before its end marker.
+// Broken is the error of a stream that ended before its end marker; Tokens is the index of the next expected token.
 type Broken struct {
 	Tokens int
 	Err    error
 }
 
-// Error says how far the stream came.
+// Error returns a message with the token count and the cause.
 func (b *Broken) Error() string {
 	return fmt.Sprintf("stream ended after %d tokens without its end marker: %v", b.Tokens, b.Err)
 }
@@ -144,12 +144,12 @@
 }
 
 const (
-	// orderWait is how long an engine may hold back the answer to one order call.
+	// orderWait is how long an engine may delay the response to one order call (long poll).
 	orderWait = 2 * time.Second
-	// orderTimeout bounds one order call, so that a silent connection is replaced.
+	// orderTimeout bounds one order call, so that a dead connection is replaced.
 	orderTimeout = orderWait + 2*time.Second
 	// reportTimeout bounds a report call.
 	reportTimeout = 2 * time.Second
-	// tokenTimeout bounds the silence between two tokens of a stream.
+	// tokenTimeout bounds the time between two tokens of a stream.
 	tokenTimeout = 8 * time.Second
 )
--- a/internal/back/engine/stream.go
+++ b/internal/back/engine/stream.go
@@ -14,8 +14,8 @@
 	"foxtailcroft/internal/core/fault"
 )
 
-// maxLine bounds one line of an event stream.
-const maxLine = 256 << 10
+// maxLineBytes bounds one line of an event stream.
+const maxLineBytes = 256 << 10
 
 type chunkBody struct {
 	Choices []struct {
@@ -40,9 +40,9 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		return "", rejection(r.Item, resp)
+		return "", responseError(r.Item, resp)
 	}
-	// The watchdog ends a stream whose connection has gone silent.
+	// The watchdog cancels a stream without a token for tokenTimeout.
 	watchdog := time.AfterFunc(tokenTimeout, cancel)
 	defer watchdog.Stop()
 	return readStream(resp.Body, r.SkipTokens, func(t Token) error {
@@ -51,7 +51,7 @@
 	})
 }
 
-// streamBody rewrites the caller's request for the engine.
+// streamBody returns the caller's request with the fields that the engine needs set.
 func streamBody(r Request) (map[string]json.RawMessage, error) {
 	body := map[string]json.RawMessage{}
 	if err := json.Unmarshal(r.Body, &body); err != nil {
@@ -89,8 +89,8 @@
 	return body, nil
 }
 
-func rejection(item Item, resp *http.Response) error {
-	text, _ := io.ReadAll(io.LimitReader(resp.Body, maxProblem))
+func responseError(item Item, resp *http.Response) error {
+	text, _ := io.ReadAll(io.LimitReader(resp.Body, maxProblemBytes))
 	switch {
 	case resp.StatusCode == http.StatusNotFound:
 		return &NotLoaded{Item: item}
@@ -100,49 +100,49 @@
 	return &fault.Away{Part: "engine", Err: fmt.Errorf("answered %s: %s", resp.Status, text), Unsettled: true}
 }
 
-// reader is the state of one event stream.
-type reader struct {
-	next   int
-	id     int
-	finish string
-	done   bool
-	fn     func(Token) error
+// streamReader is the parser state of one event stream.
+type streamReader struct {
+	nextIndex    int
+	eventID      int
+	finishReason string
+	done         bool
+	fn           func(Token) error
 }
 
-// readStream passes on each token of an event stream until its end marker.
-// Events carry the token's index as their id; an index that was passed on
-// already is dropped, and a gap breaks the stream.
+// readStream passes each token of an event stream to fn until the end marker.
+// An event's ID is its token's index; a repeated index is dropped, and a gap
+// breaks the stream.
 func readStream(body io.Reader, next int, fn func(Token) error) (string, error) {
 	lines := bufio.NewScanner(body)
-	lines.Buffer(make([]byte, 4096), maxLine)
-	r := &reader{next: next, id: -1, fn: fn}
+	lines.Buffer(make([]byte, 4096), maxLineBytes)
+	r := &streamReader{nextIndex: next, eventID: -1, fn: fn}
 	for lines.Scan() {
-		if err := r.line(lines.Bytes()); err != nil {
+		if err := r.readLine(lines.Bytes()); err != nil {
 			return "", err
 		}
 		if r.done {
-			return r.finish, nil
+			return r.finishReason, nil
 		}
 	}
 	err := lines.Err()
 	if err == nil {
 		err = io.ErrUnexpectedEOF
 	}
-	return "", r.broken(err)
+	return "", r.brokenError(err)
 }
 
-func (r *reader) broken(err error) error {
-	return &Broken{Tokens: r.next, Err: err}
+func (r *streamReader) brokenError(err error) error {
+	return &Broken{Tokens: r.nextIndex, Err: err}
 }
 
-// line takes in one line of the stream.
-func (r *reader) line(line []byte) error {
+// readLine parses one line of the stream.
+func (r *streamReader) readLine(line []byte) error {
 	if v, ok := bytes.CutPrefix(line, []byte("id: ")); ok {
 		n, err := strconv.Atoi(string(v))
 		if err != nil {
-			return r.broken(fmt.Errorf("event id %q is not a number", v))
+			return r.brokenError(fmt.Errorf("event id %q is not a number", v))
 		}
-		r.id = n
+		r.eventID = n
 		return nil
 	}
 	data, ok := bytes.CutPrefix(line, []byte("data: "))
@@ -150,35 +150,35 @@
 	case !ok:
 		return nil
 	case string(data) != "[DONE]":
-		return r.data(data)
-	case r.finish == "":
-		return r.broken(fmt.Errorf("end marker without a finish reason"))
+		return r.readEvent(data)
+	case r.finishReason == "":
+		return r.brokenError(fmt.Errorf("end marker without a finish reason"))
 	}
 	r.done = true
 	return nil
 }
 
-// data takes in one event.
-func (r *reader) data(data []byte) error {
+// readEvent parses one event and passes on its token.
+func (r *streamReader) readEvent(data []byte) error {
 	text, reason, err := parseChunk(data)
 	if err != nil {
-		return r.broken(err)
+		return r.brokenError(err)
 	}
 	if reason != "" {
-		r.finish = reason
+		r.finishReason = reason
 	}
-	id := r.id
-	r.id = -1
-	if text == "" || (id >= 0 && id < r.next) {
+	id := r.eventID
+	r.eventID = -1
+	if text == "" || (id >= 0 && id < r.nextIndex) {
 		return nil
 	}
-	if id > r.next {
-		return r.broken(fmt.Errorf("token %d follows token %d", id, r.next-1))
+	if id > r.nextIndex {
+		return r.brokenError(fmt.Errorf("token %d follows token %d", id, r.nextIndex-1))
 	}
-	if err := r.fn(Token{Index: r.next, Text: text}); err != nil {
+	if err := r.fn(Token{Index: r.nextIndex, Text: text}); err != nil {
 		return err
 	}
-	r.next++
+	r.nextIndex++
 	return nil
 }
 
--- a/internal/back/engine/stream_test.go
+++ b/internal/back/engine/stream_test.go
@@ -25,9 +25,9 @@
 		broken     bool
 	}{
 		{"whole", event("0", "a") + event("1", "b") + finish + end, 0, "ab", false},
-		{"doubled token", event("0", "a") + event("0", "a") + event("1", "b") + finish + end, 0, "ab", false},
-		{"continued", event("1", "b") + finish + end, 1, "b", false},
-		{"continued from too early", event("0", "a") + event("1", "b") + finish + end, 1, "b", false},
+		{"repeated token", event("0", "a") + event("0", "a") + event("1", "b") + finish + end, 0, "ab", false},
+		{"resumed", event("1", "b") + finish + end, 1, "b", false},
+		{"resumed from an earlier token", event("0", "a") + event("1", "b") + finish + end, 1, "b", false},
 		{"gap", event("0", "a") + event("2", "c") + finish + end, 0, "a", true},
 		{"truncated", event("0", "a") + event("1", "b"), 0, "ab", true},
 		{"end marker without a finish reason", event("0", "a") + end, 0, "a", true},
@@ -46,7 +46,7 @@
 	}
 }
 
-// FuzzStream checks that tokens come without gap or double whatever an engine sends.
+// FuzzStream checks that tokens are passed on without gaps or duplicates, whatever an engine sends.
 func FuzzStream(f *testing.F) {
 	f.Add(event("0", "a")+event("1", "b")+finish+end, 0)
 	f.Add(event("7", "a")+finish+end, 7)
@@ -55,7 +55,7 @@
 		next := skip
 		_, _ = readStream(strings.NewReader(body), skip, func(tok Token) error {
 			if tok.Index != next {
-				t.Fatalf("token %d where %d was due", tok.Index, next)
+				t.Fatalf("got token %d, expected token %d", tok.Index, next)
 			}
 			next++
 			return nil
--- a/internal/back/plain/doc.go
+++ b/internal/back/plain/doc.go
@@ -1,2 +1,2 @@
-// Package plain speaks to plain services over HTTP.
+// Package plain is an HTTP client of plain services, which are services other than model engines.
 package plain
--- a/internal/back/plain/plain.go
+++ b/internal/back/plain/plain.go
@@ -11,37 +11,37 @@
 	"net/url"
 )
 
-// Call is one call of a plain service.
+// Call is one request to a plain service.
 type Call struct {
 	Method string
 	Path   string
 	Query  string
 	Header http.Header
 	Body   []byte
-	// Idempotent allows a connection that was used before, on which the
-	// transport may repeat the call.
+	// Idempotent allows a reused connection, on which the transport may
+	// resend the call.
 	Idempotent bool
 }
 
-// Answer is the whole answer to a call.
+// Answer is the complete response to a call.
 type Answer struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// Service is a plain service as an agent uses it.
+// Service is a plain service.
 type Service interface {
-	// Do makes a call once; errors are *NotSent or *Lost.
+	// Do makes one call; errors are *NotSent or *Lost.
 	Do(ctx context.Context, c Call) (Answer, error)
 }
 
-// NotSent reports a call that never left, so that the service did not run it.
+// NotSent is the error of a call that was not sent, so that the service did not run it.
 type NotSent struct {
 	Err error
 }
 
-// Error names the cause.
+// Error returns a message with the cause.
 func (n *NotSent) Error() string {
 	return fmt.Sprintf("call not sent: %v", n.Err)
 }
@@ -51,12 +51,12 @@
 	return n.Err
 }
 
-// Lost reports a call that may have run but whose whole answer did not come.
+// Lost is the error of a call that may have run but whose complete response was not received.
 type Lost struct {
 	Err error
 }
 
-// Error names the cause.
+// Error returns a message with the cause.
 func (l *Lost) Error() string {
 	return fmt.Sprintf("answer lost: %v", l.Err)
 }
@@ -66,32 +66,32 @@
 	return l.Err
 }
 
-// maxAnswer bounds a plain service's answer.
-const maxAnswer = 16 << 20
+// maxAnswerBytes limits the body of a response.
+const maxAnswerBytes = 16 << 20
 
 // Client calls a plain service over HTTP.
 type Client struct {
-	base  *url.URL
-	kept  *http.Client
-	fresh *http.Client
+	base   *url.URL
+	pooled *http.Client
+	fresh  *http.Client
 }
 
-// NewClient returns a client of the service at base URL. Idempotent calls go
-// through kept; others go through fresh, which must not reuse connections.
-func NewClient(base string, kept, fresh http.RoundTripper) (*Client, error) {
+// NewClient returns a client of the service at the base URL. Idempotent calls use
+// pooled; others use fresh, which must not reuse connections.
+func NewClient(base string, pooled, fresh http.RoundTripper) (*Client, error) {
 	u, err := url.Parse(base)
 	if err != nil {
 		return nil, err
 	}
 	stop := func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 	return &Client{
-		base:  u,
-		kept:  &http.Client{Transport: kept, CheckRedirect: stop},
-		fresh: &http.Client{Transport: fresh, CheckRedirect: stop},
+		base:   u,
+		pooled: &http.Client{Transport: pooled, CheckRedirect: stop},
+		fresh:  &http.Client{Transport: fresh, CheckRedirect: stop},
 	}, nil
 }
 
-// Do makes one call.
+// Do makes one call without following redirects.
 func (c *Client) Do(ctx context.Context, call Call) (Answer, error) {
 	target := *c.base
 	target.Path, target.RawQuery = call.Path, call.Query
@@ -105,7 +105,7 @@
 	}
 	client := c.fresh
 	if call.Idempotent {
-		client = c.kept
+		client = c.pooled
 	}
 	if len(call.Body) > 0 {
 		req.Body = io.NopCloser(bytes.NewReader(call.Body))
@@ -120,12 +120,12 @@
 		return Answer{}, &Lost{err}
 	}
 	defer func() { _ = resp.Body.Close() }()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes+1))
 	if err != nil {
 		return Answer{}, &Lost{err}
 	}
-	if len(body) > maxAnswer {
-		return Answer{}, &Lost{fmt.Errorf("answer exceeds %d bytes", maxAnswer)}
+	if len(body) > maxAnswerBytes {
+		return Answer{}, &Lost{fmt.Errorf("answer exceeds %d bytes", maxAnswerBytes)}
 	}
 	return Answer{Status: resp.StatusCode, Header: resp.Header, Body: body}, nil
 }
