--- a/internal/back/engine/stream_test.go
+++ b/internal/back/engine/stream_test.go
@@ -26,7 +26,7 @@
 	}{
 		{"whole", event("0", "a") + event("1", "b") + finish + end, 0, "ab", false},
 		{"repeated token", event("0", "a") + event("0", "a") + event("1", "b") + finish + end, 0, "ab", false},
-		{"resumed", event("1", "b") + finish + end, 1, "b", false},
+		{"continued", event("1", "b") + finish + end, 1, "b", false},
 		{"resumed from an earlier token", event("0", "a") + event("1", "b") + finish + end, 1, "b", false},
 		{"gap", event("0", "a") + event("2", "c") + finish + end, 0, "a", true},
 		{"truncated", event("0", "a") + event("1", "b"), 0, "ab", true},
