--- a/internal/back/engine/engine.go
+++ b/internal/back/engine/engine.go
@@ -69,7 +69,7 @@
 	Prefix     string
 }
 
-// Token is one generated token; Index counts from 0 over the whole answer.
+// Token is one generated token; Index counts from 0 over the whole response.
 type Token struct {
 	Index int
 	Text  string
--- a/internal/plat/follow/follower_test.go
+++ b/internal/plat/follow/follower_test.go
@@ -43,8 +43,8 @@
 type followerTest struct {
 	g *WithT
 	*platf.Memory
-	f   *Follower
-	ctx context.Context
+	follower *Follower
+	ctx      context.Context
 }
 
 // windowedStore ends each watch after a second, as the real store ends long polls.
@@ -76,10 +76,10 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		w := &followerTest{g: NewWithT(t), Memory: platf.NewMemory(1), ctx: ctx}
 		layout := Layout{DocumentKey: "op/doc", InstancePrefix: "srv/", Prefixes: []string{"op/", "srv/", OwnPrefix}}
-		w.f = New("me", windowedStore{w.Memory}, plainDecoder{}, layout, Times{Returning: testReturnGrace, Gather: testBatchDelay}, zap.NewNop().Sugar())
-		w.f.SetPeers(peers)
+		w.follower = New("me", windowedStore{w.Memory}, plainDecoder{}, layout, Times{Returning: testReturnGrace, Gather: testBatchDelay}, zap.NewNop().Sugar())
+		w.follower.SetPeers(peers)
 		var group conc.WaitGroup
-		for _, run := range []func(context.Context){w.f.Run, w.f.RunReread, w.f.RunPeers, w.f.RunMissing} {
+		for _, run := range []func(context.Context){w.follower.Run, w.follower.RunReread, w.follower.RunPeers, w.follower.RunMissing} {
 			group.Go(func() { run(ctx) })
 		}
 		defer func() {
@@ -107,16 +107,16 @@
 	w.SetFaults(faults)
 }
 
-// version returns the version of the applied document, 0 if there is none.
-func (w *followerTest) version() int64 {
-	if d := w.f.State().Document; d != nil {
+// documentVersion returns the version of the applied document, 0 if there is none.
+func (w *followerTest) documentVersion() int64 {
+	if d := w.follower.State().Document; d != nil {
 		return d.Version
 	}
 	return 0
 }
 
-func (w *followerTest) has(id string) bool {
-	_, ok := w.f.State().Instances[id]
+func (w *followerTest) hasInstance(id string) bool {
+	_, ok := w.follower.State().Instances[id]
 	return ok
 }
 
@@ -125,16 +125,16 @@
 		w.put("op/doc", "v3")
 		w.put("srv/a", "at 1")
 		time.Sleep(time.Second)
-		w.g.Expect(w.version()).To(Equal(int64(3)))
+		w.g.Expect(w.documentVersion()).To(Equal(int64(3)))
 		for v := 4; v < 40; v++ {
 			w.put("op/doc", fmt.Sprintf("v%d", v))
 			time.Sleep(60 * time.Millisecond)
 		}
 		time.Sleep(testBatchDelay)
-		w.g.Expect(w.version()).To(Equal(int64(39)))
+		w.g.Expect(w.documentVersion()).To(Equal(int64(39)))
 		w.put("srv/a", "at leaving")
 		time.Sleep(time.Second)
-		w.g.Expect(w.f.State().Serving("s")).To(BeEmpty())
+		w.g.Expect(w.follower.State().Serving("s")).To(BeEmpty())
 	})
 }
 
@@ -144,10 +144,10 @@
 		time.Sleep(time.Second)
 		w.put("op/doc", "v5")
 		time.Sleep(10 * time.Second)
-		w.g.Expect(w.version()).To(Equal(int64(7)))
+		w.g.Expect(w.documentVersion()).To(Equal(int64(7)))
 		w.put("op/doc", "no document")
 		time.Sleep(time.Second)
-		w.g.Expect(w.version()).To(Equal(int64(7)))
+		w.g.Expect(w.documentVersion()).To(Equal(int64(7)))
 	})
 }
 
@@ -156,8 +156,8 @@
 		w.put("srv/a", "at 1")
 		w.put("srv/b", "garbage")
 		time.Sleep(time.Second)
-		w.g.Expect(w.has("a")).To(BeTrue())
-		w.g.Expect(w.has("b")).To(BeFalse())
+		w.g.Expect(w.hasInstance("a")).To(BeTrue())
+		w.g.Expect(w.hasInstance("b")).To(BeFalse())
 	})
 }
 
@@ -173,9 +173,9 @@
 		w.Compact()
 		w.SetFaults(platf.Faults{})
 		time.Sleep(2 * time.Second)
-		w.g.Expect(w.version()).To(Equal(int64(2)))
-		w.g.Expect(w.has("a")).To(BeFalse(), "without an outage a removed instance is dropped immediately")
-		w.g.Expect(w.has("b")).To(BeTrue())
+		w.g.Expect(w.documentVersion()).To(Equal(int64(2)))
+		w.g.Expect(w.hasInstance("a")).To(BeFalse(), "without an outage a removed instance is dropped immediately")
+		w.g.Expect(w.hasInstance("b")).To(BeTrue())
 	})
 }
 
@@ -186,7 +186,7 @@
 		w.SetFaults(platf.Faults{MuteWatches: true})
 		w.put("op/doc", "v2")
 		time.Sleep(rereadInterval + time.Second)
-		w.g.Expect(w.version()).To(Equal(int64(2)))
+		w.g.Expect(w.documentVersion()).To(Equal(int64(2)))
 	})
 }
 
@@ -211,13 +211,13 @@
 				w.remove("srv/a")
 				w.SetFaults(platf.Faults{})
 				time.Sleep(600 * time.Millisecond)
-				w.g.Expect(w.has("a")).To(BeTrue(), "kept while it may return")
+				w.g.Expect(w.hasInstance("a")).To(BeTrue(), "kept while it may return")
 				if c.back > 0 {
 					time.Sleep(c.back)
 					w.put("srv/a", "at 1")
 				}
 				time.Sleep(2 * testReturnGrace)
-				w.g.Expect(w.has("a")).To(Equal(c.stays))
+				w.g.Expect(w.hasInstance("a")).To(Equal(c.stays))
 			})
 		})
 	}
@@ -234,13 +234,13 @@
 		w.SetFaults(platf.Faults{Away: true})
 		time.Sleep(3 * time.Second)
 		w.SetFaults(platf.Faults{})
-		back := time.Now()
+		recoveredAt := time.Now()
 		time.Sleep(time.Second)
 		w.remove("srv/a")
-		for w.has("a") {
+		for w.hasInstance("a") {
 			time.Sleep(10 * time.Millisecond)
 		}
-		w.g.Expect(time.Since(back)).To(BeNumerically("<=", storeRetryInterval+testReturnGrace+200*time.Millisecond))
+		w.g.Expect(time.Since(recoveredAt)).To(BeNumerically("<=", storeRetryInterval+testReturnGrace+200*time.Millisecond))
 	})
 }
 
@@ -250,7 +250,7 @@
 		time.Sleep(5 * time.Second)
 		w.remove("srv/a")
 		time.Sleep(testBatchDelay + 100*time.Millisecond)
-		w.g.Expect(w.has("a")).To(BeFalse())
+		w.g.Expect(w.hasInstance("a")).To(BeFalse())
 	})
 }
 
@@ -270,13 +270,13 @@
 	runFollower(t, m, func(w *followerTest) {
 		w.SetFaults(platf.Faults{Away: true})
 		time.Sleep(time.Second)
-		w.g.Expect(w.version()).To(BeZero())
+		w.g.Expect(w.documentVersion()).To(BeZero())
 		m.list.Store(&store.List{Revision: 40, KVs: []store.KV{{Key: "op/doc", Value: []byte("v9"), Revision: 33}, {Key: "srv/a", Value: []byte("at 1"), Revision: 20}}})
 		time.Sleep(time.Second)
-		w.g.Expect(w.version()).To(Equal(int64(9)), "a front that starts without the store gets the view of another front")
-		w.g.Expect(w.has("a")).To(BeTrue())
+		w.g.Expect(w.documentVersion()).To(Equal(int64(9)), "a front that starts without the store gets the view of another front")
+		w.g.Expect(w.hasInstance("a")).To(BeTrue())
 		m.list.Store(&store.List{Revision: 30, KVs: []store.KV{{Key: "op/doc", Value: []byte("v8"), Revision: 21}}})
 		time.Sleep(2 * time.Second)
-		w.g.Expect(w.version()).To(Equal(int64(9)), "an older view is not applied")
+		w.g.Expect(w.documentVersion()).To(Equal(int64(9)), "an older view is not applied")
 	})
 }
