--- a/internal/link/peer/conn.go
+++ b/internal/link/peer/conn.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	// probeAfter is how long a connection with work on it may be silent before it is probed.
-	probeAfter = time.Second
-	// probeTimeout is how long a probe may go unanswered before the connection counts as dead.
+	// maxSilence is how long a connection with active work may receive nothing before it is probed.
+	maxSilence = time.Second
+	// probeTimeout is how long a probe may go unanswered before the connection is closed as dead.
 	probeTimeout = 1500 * time.Millisecond
 	// writeTimeout bounds one write.
 	writeTimeout = 3 * time.Second
@@ -26,15 +26,15 @@
 
 const methodPing = "Ping"
 
-// Lost reports a call whose connection ended or never stood.
+// Lost reports a message that failed because the connection ended or could not be established.
 type Lost struct {
 	Address string
-	// Sent is false only if nothing of the message can have reached the other end.
+	// Sent is false only if no part of the message can have reached the peer.
 	Sent bool
 	Err  error
 }
 
-// Error names the address and the cause.
+// Error returns the address, whether the message may have been sent, and the cause.
 func (l *Lost) Error() string {
 	return fmt.Sprintf("connection to %s lost (sent: %t): %v", l.Address, l.Sent, l.Err)
 }
@@ -44,33 +44,33 @@
 	return l.Err
 }
 
-// Conn is one connection between two processes; calls and notifications go both ways.
+// Conn is a connection between two processes. Both ends can send calls, notifications and stream messages.
 type Conn struct {
-	remote  atomic.Pointer[Hello]
-	address string
-	mux     *Mux
-	rpc     *jsonrpc2.Conn
-	pipe    *timedConn
-	frames  *frames
-	group   crew.Group
-	work    atomic.Int64
+	remote     atomic.Pointer[Hello]
+	address    string
+	mux        *Mux
+	rpc        *jsonrpc2.Conn
+	transport  *monitoredConn
+	frames     *frameStream
+	group      crew.Group
+	activeWork atomic.Int64
 }
 
-// Hello is the greeting that both ends exchange.
+// Hello is the handshake message that both ends exchange.
 type Hello struct {
 	Node string
-	// Epoch tells the process from others that had the node's name.
+	// Epoch distinguishes the process from earlier processes with the same node name.
 	Epoch int64
 }
 
-// timedConn notes when bytes last arrived and bounds each write.
-type timedConn struct {
+// monitoredConn records the time of the last read, counts the bytes written and sets a deadline on each write.
+type monitoredConn struct {
 	net.Conn
-	lastRead atomic.Int64
-	bytes    atomic.Int64
+	lastRead  atomic.Int64
+	bytesSent atomic.Int64
 }
 
-func (t *timedConn) Read(p []byte) (int, error) {
+func (t *monitoredConn) Read(p []byte) (int, error) {
 	n, err := t.Conn.Read(p)
 	if n > 0 {
 		t.lastRead.Store(time.Now().UnixNano())
@@ -78,68 +78,69 @@
 	return n, err
 }
 
-func (t *timedConn) Write(p []byte) (int, error) {
+func (t *monitoredConn) Write(p []byte) (int, error) {
 	if err := t.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return 0, err
 	}
-	t.bytes.Add(int64(len(p)))
+	t.bytesSent.Add(int64(len(p)))
 	n, err := t.Conn.Write(p)
 	if err != nil {
-		// A frame written in part cannot be taken back.
+		// After a partial frame the peer can no longer find frame boundaries, so the connection is closed.
 		return n, errors.Join(err, t.Close())
 	}
 	return n, nil
 }
 
-var quiet = log.New(io.Discard, "", 0)
+var discardLogger = log.New(io.Discard, "", 0)
 
-// newConn starts a connection's reader and heartbeat.
+// newConn wraps a transport in a Conn and starts its reader and heartbeat.
 func newConn(ctx context.Context, raw net.Conn, address string, mux *Mux) *Conn {
-	pipe := &timedConn{Conn: raw}
+	pipe := &monitoredConn{Conn: raw}
 	pipe.lastRead.Store(time.Now().UnixNano())
-	c := &Conn{address: address, mux: mux, pipe: pipe}
+	c := &Conn{address: address, mux: mux, transport: pipe}
 	c.remote.Store(&Hello{})
 	ready := make(chan struct{})
-	c.frames = newFrames(pipe, func(kind byte, data []byte) {
+	c.frames = newFrameStream(pipe, func(kind byte, data []byte) {
 		<-ready
-		c.stream(kind, data)
+		c.dispatchStream(kind, data)
 	})
-	c.rpc = jsonrpc2.NewConn(ctx, c.frames, gate{c, ready}, jsonrpc2.SetLogger(quiet))
+	c.rpc = jsonrpc2.NewConn(ctx, c.frames, readyHandler{c, ready}, jsonrpc2.SetLogger(discardLogger))
 	close(ready)
 	c.group.Go(c.heartbeat)
 	return c
 }
 
-// gate holds the first message back until the connection's fields are set.
-type gate struct {
+// readyHandler answers pings and passes all other messages to conn. It blocks until ready is closed,
+// that is, until the fields of conn are set.
+type readyHandler struct {
 	conn  *Conn
 	ready chan struct{}
 }
 
-func (g gate) Handle(ctx context.Context, rpc *jsonrpc2.Conn, req *jsonrpc2.Request) {
+func (g readyHandler) Handle(ctx context.Context, rpc *jsonrpc2.Conn, req *jsonrpc2.Request) {
 	<-g.ready
 	if req.Method == methodPing && !req.Notif {
-		// The connection's end is seen by its reader.
+		// If the connection has ended, the reader detects it.
 		_ = rpc.Reply(ctx, req.ID, struct{}{})
 		return
 	}
 	g.conn.Handle(ctx, rpc, req)
 }
 
-// Remote returns the name and epoch that the other end gave in its greeting.
+// Remote returns the peer's handshake message; it is zero until the handshake is done.
 func (c *Conn) Remote() Hello {
 	return *c.remote.Load()
 }
 
-// Begin marks the connection as having work on it until the returned function is called.
+// Begin marks the connection as having active work, which enables the heartbeat, until the returned function is called.
 func (c *Conn) Begin() func() {
-	c.work.Add(1)
-	return func() { c.work.Add(-1) }
+	c.activeWork.Add(1)
+	return func() { c.activeWork.Add(-1) }
 }
 
-// heartbeat probes the connection while it has work and closes it when a probe goes unanswered.
+// heartbeat probes the connection when it has active work and is silent, and closes it if a probe fails.
 func (c *Conn) heartbeat() {
-	tick := time.NewTicker(probeAfter / 2)
+	tick := time.NewTicker(maxSilence / 2)
 	defer tick.Stop()
 	for {
 		select {
@@ -147,26 +148,26 @@
 			return
 		case <-tick.C:
 		}
-		silent := time.Since(time.Unix(0, c.pipe.lastRead.Load()))
-		if c.work.Load() == 0 || silent < probeAfter {
+		silent := time.Since(time.Unix(0, c.transport.lastRead.Load()))
+		if c.activeWork.Load() == 0 || silent < maxSilence {
 			continue
 		}
 		if c.probe() != nil {
-			c.shut()
+			c.disconnect()
 			return
 		}
 	}
 }
 
-// probe sends one ping and waits for any answer.
+// probe sends a ping and waits up to probeTimeout for the reply.
 func (c *Conn) probe() error {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
 	return c.rpc.Call(ctx, methodPing, struct{}{}, nil)
 }
 
-// Call sends a request and waits for its reply. The context bounds the wait;
-// who waits long for something that may not come holds Begin meanwhile.
+// Call sends a request and waits for its reply until the context ends. For long waits the caller
+// should also hold Begin, so that the heartbeat detects a dead peer.
 func (c *Conn) Call(ctx context.Context, method string, params, reply any) error {
 	err := c.rpc.Call(ctx, method, params, reply)
 	var remote *jsonrpc2.Error
@@ -174,14 +175,14 @@
 	case err == nil:
 		return nil
 	case errors.As(err, &remote):
-		return fromWire(remote)
+		return decodeError(remote)
 	case ctx.Err() != nil:
 		return ctx.Err()
 	}
 	return &Lost{Address: c.address, Sent: true, Err: err}
 }
 
-// Notify sends a message that has no reply.
+// Notify sends a notification, which has no reply.
 func (c *Conn) Notify(method string, params any) error {
 	if err := c.rpc.Notify(context.Background(), method, params); err != nil {
 		return &Lost{Address: c.address, Sent: true, Err: err}
@@ -189,7 +190,7 @@
 	return nil
 }
 
-// Stream sends a stream message, in order with the notifications before and after it.
+// Stream sends a stream message. Its order relative to notifications is preserved.
 func (c *Conn) Stream(kind byte, message any) error {
 	if err := c.frames.writeStream(kind, message); err != nil {
 		return &Lost{Address: c.address, Sent: true, Err: err}
@@ -197,7 +198,7 @@
 	return nil
 }
 
-// Done is closed when the connection has ended.
+// Done returns a channel that is closed when the connection has ended.
 func (c *Conn) Done() <-chan struct{} {
 	return c.rpc.DisconnectNotify()
 }
@@ -207,19 +208,19 @@
 	return c.address
 }
 
-// BytesSent returns the bytes written so far.
+// BytesSent returns the number of bytes written to the connection so far.
 func (c *Conn) BytesSent() int64 {
-	return c.pipe.bytes.Load()
+	return c.transport.bytesSent.Load()
 }
 
-// shut ends the connection.
-func (c *Conn) shut() {
-	// A second close of a connection reports that it is closed.
+// disconnect closes the connection without waiting for its handlers.
+func (c *Conn) disconnect() {
+	// The only possible error is that the connection is already closed.
 	_ = c.rpc.Close()
 }
 
-// close ends the connection and waits for its handlers.
+// close closes the connection and waits for its handlers.
 func (c *Conn) close() {
-	c.shut()
+	c.disconnect()
 	c.group.Close()
 }
--- a/internal/link/peer/doc.go
+++ b/internal/link/peer/doc.go
@@ -1,2 +1,3 @@
-// Package peer carries typed messages between the system's processes: connections, heartbeats and replacement.
+// Package peer provides typed calls, notifications and stream messages between processes over
+// pooled connections that detect dead peers by heartbeat.
 package peer
--- a/internal/link/peer/frames.go
+++ b/internal/link/peer/frames.go
@@ -11,7 +11,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// MaxFrame bounds the bytes of one message, so that no message holds up the others for long.
+// MaxFrame is the maximum size of a message in bytes. It limits how long one message can delay others
+// on the same connection.
 const MaxFrame = 512 << 10
 
 const (
@@ -20,68 +21,68 @@
 	streamBit = 1 << 31
 )
 
-// FrameTooLong reports a message over MaxFrame.
+// FrameTooLong reports a message larger than MaxFrame.
 type FrameTooLong struct {
 	Bytes int
 }
 
-// Error names the size and the bound.
+// Error returns the message size and the limit.
 func (e *FrameTooLong) Error() string {
 	return fmt.Sprintf("message of %d bytes exceeds the frame bound of %d bytes", e.Bytes, MaxFrame)
 }
 
-// frames is a stream of messages over one transport. Each frame is its length
-// in four bytes, big-endian, and a JSON-RPC message; with the top bit of the
-// length set, a kind in one byte and a stream message, which passes JSON-RPC
-// by because tokens come by the thousand.
-type frames struct {
+// frameStream reads and writes length-prefixed messages on a transport. A frame
+// is a four-byte big-endian length followed by a JSON-RPC message. If the top
+// bit of the length is set, a one-byte kind and a MessagePack stream message
+// follow instead, without JSON-RPC, because tokens come by the thousand.
+type frameStream struct {
 	conn     io.ReadWriteCloser
 	r        *bufio.Reader
 	onStream func(kind byte, data []byte)
-	mu       sync.Mutex
+	writeMu  sync.Mutex
 }
 
-func newFrames(conn io.ReadWriteCloser, onStream func(kind byte, data []byte)) *frames {
-	return &frames{conn: conn, r: bufio.NewReader(conn), onStream: onStream}
+func newFrameStream(conn io.ReadWriteCloser, onStream func(kind byte, data []byte)) *frameStream {
+	return &frameStream{conn: conn, r: bufio.NewReader(conn), onStream: onStream}
 }
 
-// WriteObject writes one JSON-RPC message.
-func (f *frames) WriteObject(obj any) error {
+// WriteObject writes obj as one JSON-RPC message.
+func (f *frameStream) WriteObject(obj any) error {
 	data, err := json.Marshal(obj)
 	if err != nil {
 		return err
 	}
 	frame := make([]byte, headerBytes, headerBytes+len(data))
-	return f.write(append(frame, data...), 0)
+	return f.writeFrame(append(frame, data...), 0)
 }
 
 // writeStream writes one stream message.
-func (f *frames) writeStream(kind byte, message any) error {
+func (f *frameStream) writeStream(kind byte, message any) error {
 	data, err := msgpack.Marshal(message)
 	if err != nil {
 		return err
 	}
 	frame := make([]byte, headerBytes, headerBytes+1+len(data))
-	return f.write(append(append(frame, kind), data...), streamBit)
+	return f.writeFrame(append(append(frame, kind), data...), streamBit)
 }
 
-// write fills in the header of a frame and sends it whole.
-func (f *frames) write(frame []byte, flag uint32) error {
+// writeFrame fills in the header of a frame and writes the frame.
+func (f *frameStream) writeFrame(frame []byte, flag uint32) error {
 	size := len(frame) - headerBytes
 	if size > MaxFrame {
 		return &FrameTooLong{size}
 	}
 	binary.BigEndian.PutUint32(frame, uint32(size)|flag)
-	f.mu.Lock()
-	defer f.mu.Unlock()
+	f.writeMu.Lock()
+	defer f.writeMu.Unlock()
 	_, err := f.conn.Write(frame)
 	return err
 }
 
-// ReadObject reads up to the next JSON-RPC message and hands on the stream messages before it.
-func (f *frames) ReadObject(v any) error {
+// ReadObject decodes the next JSON-RPC message into v. It passes the stream messages before it to onStream.
+func (f *frameStream) ReadObject(v any) error {
 	for {
-		data, stream, err := f.read()
+		data, stream, err := f.readFrame()
 		if err != nil {
 			return err
 		}
@@ -94,8 +95,8 @@
 	}
 }
 
-// read reads one frame.
-func (f *frames) read() (data []byte, stream bool, err error) {
+// readFrame reads one frame and reports whether it carries a stream message.
+func (f *frameStream) readFrame() (data []byte, stream bool, err error) {
 	var header [headerBytes]byte
 	if _, err := io.ReadFull(f.r, header[:]); err != nil {
 		return nil, false, err
@@ -110,7 +111,7 @@
 	return data, stream, err
 }
 
-// Close closes the transport.
-func (f *frames) Close() error {
+// Close closes the underlying transport.
+func (f *frameStream) Close() error {
 	return f.conn.Close()
 }
--- a/internal/link/peer/fuzz_test.go
+++ b/internal/link/peer/fuzz_test.go
@@ -7,15 +7,15 @@
 	"testing"
 )
 
-// buffer is a transport in memory.
+// buffer is an in-memory transport.
 type buffer struct{ bytes.Buffer }
 
 func (*buffer) Close() error { return nil }
 
-// FuzzFrame checks that no bytes make the reader panic or read past the frame bound.
+// FuzzFrame checks that no input makes the reader panic or accept a frame larger than MaxFrame.
 func FuzzFrame(f *testing.F) {
 	var buf buffer
-	if err := newFrames(&buf, nil).WriteObject(Hello{Node: "a", Epoch: 1}); err != nil {
+	if err := newFrameStream(&buf, nil).WriteObject(Hello{Node: "a", Epoch: 1}); err != nil {
 		f.Fatal(err)
 	}
 	f.Add([]byte{0x80, 0, 0, 2, 1, 0xc0})
@@ -28,16 +28,16 @@
 		var v json.RawMessage
 		var in buffer
 		in.Write(data)
-		err := newFrames(&in, func(byte, []byte) {}).ReadObject(&v)
+		err := newFrameStream(&in, func(byte, []byte) {}).ReadObject(&v)
 		if err == nil && len(v) > MaxFrame {
-			t.Fatalf("frame of %d bytes", len(v))
+			t.Fatalf("accepted a frame of %d bytes, over MaxFrame", len(v))
 		}
 	})
 }
 
-func TestFrameTooLongIsRefused(t *testing.T) {
+func TestWriteRejectsMessageOverMaxFrame(t *testing.T) {
 	var tooLong *FrameTooLong
-	if err := newFrames(&buffer{}, nil).WriteObject(make([]byte, MaxFrame)); !errors.As(err, &tooLong) {
-		t.Fatalf("wrote it: %v", err)
+	if err := newFrameStream(&buffer{}, nil).WriteObject(make([]byte, MaxFrame)); !errors.As(err, &tooLong) {
+		t.Fatalf("error = %v, want FrameTooLong", err)
 	}
 }
--- a/internal/link/peer/mux.go
+++ b/internal/link/peer/mux.go
@@ -13,23 +13,23 @@
 
 type callHandler func(ctx context.Context, c *Conn, params json.RawMessage) (any, error)
 
-type noteHandler func(c *Conn, params json.RawMessage)
+type notificationHandler func(c *Conn, params json.RawMessage)
 
 type streamHandler func(c *Conn, data []byte)
 
-// Mux maps methods to typed handlers. Register all before the first connection.
+// Mux maps methods and stream kinds to typed handlers. All handlers must be registered before the first connection.
 type Mux struct {
-	calls   map[string]callHandler
-	notes   map[string]noteHandler
-	streams map[byte]streamHandler
+	calls         map[string]callHandler
+	notifications map[string]notificationHandler
+	streams       map[byte]streamHandler
 }
 
-// NewMux returns a Mux that knows no method.
+// NewMux returns a Mux without handlers.
 func NewMux() *Mux {
-	return &Mux{calls: map[string]callHandler{}, notes: map[string]noteHandler{}, streams: map[byte]streamHandler{}}
+	return &Mux{calls: map[string]callHandler{}, notifications: map[string]notificationHandler{}, streams: map[byte]streamHandler{}}
 }
 
-// OnCall registers the handler of a call; handlers of one connection run side by side.
+// OnCall registers the handler of a call. Calls on the same connection are handled concurrently.
 func OnCall[Req, Rep any](m *Mux, method string, h func(context.Context, *Conn, Req) (Rep, error)) {
 	m.calls[method] = func(ctx context.Context, c *Conn, params json.RawMessage) (any, error) {
 		var req Req
@@ -40,9 +40,10 @@
 	}
 }
 
-// OnNote registers the handler of a notification; a connection's notifications are handled in order and must not block.
+// OnNote registers the handler of a notification. Notifications on the same connection are handled in
+// order, so the handler must not block.
 func OnNote[Req any](m *Mux, method string, h func(*Conn, Req)) {
-	m.notes[method] = func(c *Conn, params json.RawMessage) {
+	m.notifications[method] = func(c *Conn, params json.RawMessage) {
 		var req Req
 		if json.Unmarshal(params, &req) == nil {
 			h(c, req)
@@ -50,8 +51,9 @@
 	}
 }
 
-// OnStream registers the handler of a kind of stream message; it is called in
-// order with the notifications of its connection and must not block.
+// OnStream registers the handler of a kind of stream message. Stream messages
+// and notifications on the same connection are handled in order, so the handler
+// must not block.
 func OnStream[M any](m *Mux, kind byte, h func(*Conn, M)) {
 	m.streams[kind] = func(c *Conn, data []byte) {
 		var message M
@@ -61,21 +63,21 @@
 	}
 }
 
-// stream dispatches one stream message.
-func (c *Conn) stream(kind byte, data []byte) {
+// dispatchStream passes a stream message to its handler and ignores unknown kinds.
+func (c *Conn) dispatchStream(kind byte, data []byte) {
 	if h := c.mux.streams[kind]; h != nil {
 		h(c, data)
 	}
 }
 
-// Handle dispatches one message.
+// Handle passes a JSON-RPC message to its handler.
 func (c *Conn) Handle(ctx context.Context, _ *jsonrpc2.Conn, req *jsonrpc2.Request) {
 	var params json.RawMessage
 	if req.Params != nil {
 		params = *req.Params
 	}
 	if req.Notif {
-		if h := c.mux.notes[req.Method]; h != nil {
+		if h := c.mux.notifications[req.Method]; h != nil {
 			h(c, params)
 		}
 		return
@@ -88,24 +90,24 @@
 	c.group.Go(func() {
 		result, err := h(ctx, c, params)
 		if err != nil {
-			c.replyError(ctx, req.ID, toWire(err))
+			c.replyError(ctx, req.ID, encodeError(err))
 			return
 		}
-		// The connection's end is seen by its reader.
+		// If the connection has ended, the reader detects it.
 		_ = c.rpc.Reply(ctx, req.ID, result)
 	})
 }
 
 func (c *Conn) replyError(ctx context.Context, id jsonrpc2.ID, e *jsonrpc2.Error) {
-	// The connection's end is seen by its reader.
+	// If the connection has ended, the reader detects it.
 	_ = c.rpc.ReplyWithError(ctx, id, e)
 }
 
-// codeRefusal marks a JSON-RPC error whose data is a fault.Refusal.
+// codeRefusal is the code of a JSON-RPC error whose data is a fault.Refusal.
 const codeRefusal = 1
 
-// toWire turns an error into a JSON-RPC error that carries a refusal where there is one.
-func toWire(err error) *jsonrpc2.Error {
+// encodeError converts an error to a JSON-RPC error, with the fault.Refusal as its data if err wraps one.
+func encodeError(err error) *jsonrpc2.Error {
 	var r *fault.Refusal
 	if !errors.As(err, &r) {
 		return &jsonrpc2.Error{Code: jsonrpc2.CodeInternalError, Message: err.Error()}
@@ -115,8 +117,8 @@
 	return e
 }
 
-// fromWire turns a JSON-RPC error back into the refusal it carries.
-func fromWire(e *jsonrpc2.Error) error {
+// decodeError returns the fault.Refusal that a JSON-RPC error carries, or the error itself if it carries none.
+func decodeError(e *jsonrpc2.Error) error {
 	if e.Code != codeRefusal || e.Data == nil {
 		return e
 	}
--- a/internal/link/peer/pool.go
+++ b/internal/link/peer/pool.go
@@ -14,7 +14,7 @@
 
 const methodHello = "Hello"
 
-// dialTimeout bounds the connection and its greeting.
+// dialTimeout bounds dialing plus the handshake.
 const dialTimeout = 1500 * time.Millisecond
 
 // Dialer opens a transport to an address.
@@ -26,43 +26,43 @@
 	return d.DialContext(ctx, "tcp", address)
 }
 
-// Pool keeps one connection to each address that is in use.
+// Pool keeps at most one connection per address and dials on demand.
 type Pool struct {
 	dial  Dialer
 	mux   *Mux
 	hello func() Hello
-	// opening lets concurrent callers share one dial and its failure.
-	opening singleflight.Group
-	// dials counts the dials under way, which end with ctx.
+	// dialGroup lets concurrent callers for an address share one dial and its error.
+	dialGroup singleflight.Group
+	// dials counts the dials in progress; canceling ctx aborts them.
 	dials  sync.WaitGroup
 	ctx    context.Context
 	cancel context.CancelFunc
 	mu     sync.Mutex
 	conns  map[string]*Conn
-	done   bool
+	closed bool
 }
 
-// NewPool returns a pool and the function that closes its connections.
+// NewPool returns a pool and the function that closes it with its connections.
 func NewPool(dial Dialer, mux *Mux, hello func() Hello) (*Pool, func()) {
 	p := &Pool{dial: dial, mux: mux, hello: hello, conns: map[string]*Conn{}}
 	p.ctx, p.cancel = context.WithCancel(context.Background())
 	return p, p.close
 }
 
-// Get returns the live connection to an address, dialing if there is none.
+// Get returns the open connection to an address and dials if there is none. Its error is a *Lost.
 func (p *Pool) Get(ctx context.Context, address string) (*Conn, error) {
-	if conn := p.live(address); conn != nil {
+	if conn := p.liveConn(address); conn != nil {
 		return conn, nil
 	}
-	ch := p.opening.DoChan(address, func() (any, error) {
-		if conn := p.live(address); conn != nil {
+	ch := p.dialGroup.DoChan(address, func() (any, error) {
+		if conn := p.liveConn(address); conn != nil {
 			return conn, nil
 		}
-		if !p.begin() {
+		if !p.beginDial() {
 			return nil, net.ErrClosed
 		}
 		defer p.dials.Done()
-		return p.open(address)
+		return p.connect(address)
 	})
 	select {
 	case res := <-ch:
@@ -75,18 +75,18 @@
 	}
 }
 
-// begin counts a dial unless the pool is closed.
-func (p *Pool) begin() bool {
+// beginDial registers a dial in progress. It returns false if the pool is closed.
+func (p *Pool) beginDial() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.done {
+	if !p.closed {
 		p.dials.Add(1)
 	}
-	return !p.done
+	return !p.closed
 }
 
-// live returns the connection to an address unless it has ended.
-func (p *Pool) live(address string) *Conn {
+// liveConn returns the open connection to an address, or nil if there is none.
+func (p *Pool) liveConn(address string) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	conn := p.conns[address]
@@ -102,13 +102,13 @@
 	}
 }
 
-// Drop ends a connection that the caller found unresponsive.
+// Drop closes a connection that the caller found unresponsive.
 func (p *Pool) Drop(c *Conn) {
-	c.shut()
+	c.disconnect()
 }
 
-// open dials, greets and keeps the connection.
-func (p *Pool) open(address string) (*Conn, error) {
+// connect dials an address, performs the handshake and adds the connection to the pool.
+func (p *Pool) connect(address string) (*Conn, error) {
 	ctx, cancel := context.WithTimeout(p.ctx, dialTimeout)
 	defer cancel()
 	raw, err := p.dial(ctx, address)
@@ -122,24 +122,24 @@
 		return nil, fmt.Errorf("greeting: %w", err)
 	}
 	conn.remote.Store(&remote)
-	if !p.keep(address, conn) {
+	if !p.add(address, conn) {
 		conn.close()
 		return nil, net.ErrClosed
 	}
 	return conn, nil
 }
 
-// keep stores the connection unless the pool is closed.
-func (p *Pool) keep(address string, conn *Conn) bool {
+// add stores the connection. It returns false if the pool is closed.
+func (p *Pool) add(address string, conn *Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.done {
+	if !p.closed {
 		p.conns[address] = conn
 	}
-	return !p.done
+	return !p.closed
 }
 
-// Conns returns the live connections.
+// Conns returns the pool's connections, including those that have ended and were not yet replaced.
 func (p *Pool) Conns() []*Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -148,7 +148,7 @@
 
 func (p *Pool) close() {
 	p.mu.Lock()
-	p.done = true
+	p.closed = true
 	p.mu.Unlock()
 	p.cancel()
 	p.dials.Wait()
--- a/internal/link/peer/server.go
+++ b/internal/link/peer/server.go
@@ -19,7 +19,7 @@
 	group crew.Group
 }
 
-// NewServer returns a server on the listener and the function that stops it and closes its connections.
+// NewServer returns a server for the listener and the function that stops it and closes its connections.
 func NewServer(lis net.Listener, mux *Mux, hello func() Hello) (*Server, func()) {
 	s := &Server{mux: mux, hello: hello, lis: lis, conns: map[*Conn]struct{}{}}
 	OnCall(mux, methodHello, func(_ context.Context, c *Conn, h Hello) (Hello, error) {
@@ -43,21 +43,21 @@
 		s.mu.Lock()
 		s.conns[c] = struct{}{}
 		s.mu.Unlock()
-		if !s.group.Go(func() { s.forget(c) }) {
-			c.shut()
+		if !s.group.Go(func() { s.removeWhenDone(c) }) {
+			c.disconnect()
 		}
 	}
 }
 
-// forget drops a connection once it has ended.
-func (s *Server) forget(c *Conn) {
+// removeWhenDone waits until a connection has ended and removes it.
+func (s *Server) removeWhenDone(c *Conn) {
 	<-c.Done()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, c)
 }
 
-// Conns returns the live connections.
+// Conns returns the accepted connections that have not ended.
 func (s *Server) Conns() []*Conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -69,7 +69,7 @@
 }
 
 func (s *Server) close() {
-	// A listener closed twice reports that it is closed.
+	// The only expected error is that the listener is already closed.
 	_ = s.lis.Close()
 	for _, c := range s.Conns() {
 		c.close()
--- a/internal/link/spread/doc.go
+++ b/internal/link/spread/doc.go
@@ -1,2 +1,3 @@
-// Package spread brings configuration to every node: relays watch the store, and all other nodes follow two relays.
+// Package spread distributes configuration to all nodes. In each failure domain a few root nodes watch
+// the store, and every other node pulls from two relays in a tree below them.
 package spread
--- a/internal/link/spread/feed.go
+++ b/internal/link/spread/feed.go
@@ -9,9 +9,9 @@
 	"foxtailcroft/internal/plat/store"
 )
 
-// Load reads the whole configuration from the store, linearizably, into the
-// holder. It reports false if the store answered from a state older than the
-// holder's.
+// Load reads the whole configuration from the store with a linearizable read and
+// applies it to the holder. It returns false, and applies nothing, if the
+// store's revision is older than the holder's.
 func Load(ctx context.Context, s store.Store, holder *view.Holder) (bool, error) {
 	list, err := s.Range(ctx, store.StatePrefix)
 	if err != nil {
@@ -28,9 +28,9 @@
 	return true, nil
 }
 
-// Feed watches the store from the holder's revision on and applies each change
-// until the context ends or the watch fails. It reads the whole configuration
-// only where the store no longer has all changes since that revision.
+// Feed watches the store from the holder's revision and applies each change
+// until the context ends or the watch fails. It reloads the whole configuration
+// only if the store has compacted changes since that revision.
 func Feed(ctx context.Context, s store.Store, holder *view.Holder) error {
 	err := watch(ctx, s, holder)
 	var compacted *store.Compacted
--- a/internal/link/spread/follow.go
+++ b/internal/link/spread/follow.go
@@ -19,25 +19,28 @@
 )
 
 const (
-	// Parents is how many nodes of a failure domain watch the store, and how many relays each other node follows.
+	// Parents is the number of root nodes per failure domain, which watch the store, and the number of
+	// relays that every other node follows.
 	Parents = 2
-	// fanOut is how many pairs of nodes follow one pair of relays, which bounds what a relay sends.
-	fanOut = 8
-	// pollWait is how long a relay may hold back a reply; a silent connection is noticed one reply's time later.
-	pollWait = 3 * time.Second
-	// pullTimeout bounds a whole pull, pages included.
+	// pairFanOut is how many pairs of nodes follow one pair of relays. It limits the load on a relay.
+	pairFanOut = 8
+	// pollTimeout is how long a relay may delay its reply while it has nothing newer. A dead connection is
+	// detected replyGrace later.
+	pollTimeout = 3 * time.Second
+	// pullTimeout bounds a pull with all its pages.
 	pullTimeout = 20 * time.Second
-	// coolDown is how long a relay that failed is passed over.
-	coolDown = 5 * time.Second
-	// retryPause separates failed tries.
-	retryPause = 500 * time.Millisecond
+	// failedRelayCooldown is how long a relay is skipped after a failed pull.
+	failedRelayCooldown = 5 * time.Second
+	// retryDelay is the delay after a failed pull or watch.
+	retryDelay = 500 * time.Millisecond
 )
 
 // Follower keeps a node's view up to date. The nodes of a failure domain are
-// ranked by a hash of their names. The first pair watches the store; each
-// other pair of nodes follows the two relays of the pair before it in a tree,
-// so that no relay serves more than 2*fanOut nodes. A relay that fails is left
-// out of the ranking for a while, which moves the node nearer to the store.
+// ranked by a hash of their names and grouped in pairs, which form a tree. The
+// first pair, the roots, watches the store; every other pair follows both nodes
+// of its parent pair, so that no relay serves more than 2*pairFanOut nodes. A
+// relay that failed is left out of the ranking for failedRelayCooldown, which
+// moves this node up in the tree, nearer to the store.
 type Follower struct {
 	Self   plan.Node
 	Holder *view.Holder
@@ -47,85 +50,86 @@
 	Pool   *peer.Pool
 	Log    *zap.Logger
 
-	mu     sync.Mutex
-	failed map[string]time.Time
+	mu       sync.Mutex
+	failedAt map[string]time.Time
 }
 
-// Run follows one of the node's two relays, or watches the store if the node is first in rank.
+// Run follows the node's first (0) or second (1) parent until the context ends. A root watches the store as its first parent.
 func (f *Follower) Run(ctx context.Context, parent int) {
 	for ctx.Err() == nil {
-		if err := f.step(ctx, parent); err != nil && ctx.Err() == nil {
-			f.Log.Info("configuration source failed", zap.Int("Parent", parent), zap.Error(err))
-			pause.For(ctx, retryPause)
+		if err := f.pullOrWatch(ctx, parent); err != nil && ctx.Err() == nil {
+			f.Log.Info("pulling or watching the configuration failed; retrying", zap.Int("Parent", parent), zap.Error(err))
+			pause.For(ctx, retryDelay)
 		}
 	}
 }
 
-// step pulls once from a relay, or feeds from the store.
-func (f *Follower) step(ctx context.Context, parent int) error {
+// pullOrWatch pulls once from the parent relay, or watches the store if the node is its own parent.
+func (f *Follower) pullOrWatch(ctx context.Context, parent int) error {
 	if f.Holder.View().Revision() == 0 {
-		// The first configuration comes from Bootstrap.
-		pause.For(ctx, bootstrapWait)
+		// Bootstrap loads the first configuration.
+		pause.For(ctx, bootstrapPollInterval)
 		return nil
 	}
-	relay, ok := f.source(parent)
+	relay, ok := f.parentRelay(parent)
 	switch {
 	case !ok:
-		pause.For(ctx, pollWait)
+		pause.For(ctx, pollTimeout)
 		return nil
 	case relay.Name == f.Self.Name:
-		return f.feed(ctx)
+		return f.watchAsRoot(ctx)
 	}
 	ctx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
 	conn, err := f.Pool.Get(ctx, relay.Address)
 	if err == nil {
-		err = Pull(ctx, conn, f.Holder, Pulled{Node: f.Self.Name, Parent: parent, Relays: f.Relay.Busy(), Wait: pollWait})
+		err = Pull(ctx, conn, f.Holder, Pulled{Node: f.Self.Name, Parent: parent, Relays: f.Relay.Busy(), Wait: pollTimeout})
 		if err != nil {
 			f.Pool.Drop(conn)
 		}
 	}
 	if err != nil {
-		f.fail(relay.Name)
+		f.markFailed(relay.Name)
 	}
 	return err
 }
 
-// source returns the relay that the node follows as its first or second
-// parent, or the node itself where it watches the store; ok is false if the
-// domain has no such relay.
-func (f *Follower) source(parent int) (plan.Node, bool) {
-	ranked := f.ranked()
+// parentRelay returns the node's first or second parent, or the node itself if
+// it watches the store. It returns false if the domain has too few nodes.
+func (f *Follower) parentRelay(parent int) (plan.Node, bool) {
+	ranked := f.rankedNodes()
 	self := slices.IndexFunc(ranked, func(n plan.Node) bool { return n.Name == f.Self.Name })
 	return Source(ranked, self, parent)
 }
 
-// Source returns whom the node at an index of a ranking follows as its first
-// or second parent: itself if it watches the store.
+// Source returns the first or second parent of the node at index self of a
+// ranking, which is the node itself if it watches the store. It returns false
+// if the ranking is too short to have that parent.
 func Source(ranked []plan.Node, self, parent int) (plan.Node, bool) {
 	pair := self / Parents
-	at := parent
+	index := parent
 	switch {
 	case pair == 0 && parent == 0:
 		// A root watches the store itself.
-		at = self
+		index = self
 	case pair == 0:
-		// It also follows the other root, in case its own way to the store is cut.
-		at = Parents - 1 - self
+		// A root also follows the other root, in case it cannot reach the store itself.
+		index = Parents - 1 - self
 	default:
-		at += (pair - 1) / fanOut * Parents
+		index += (pair - 1) / pairFanOut * Parents
 	}
-	if at >= len(ranked) {
+	if index >= len(ranked) {
 		return plan.Node{}, false
 	}
-	return ranked[at], true
+	return ranked[index], true
 }
 
-// feed watches the store as long as this node is a root.
-func (f *Follower) feed(ctx context.Context) error {
+// watchAsRoot watches the store for up to rootRecheckInterval, after which the caller checks whether the
+// node is still a root.
+func (f *Follower) watchAsRoot(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	recheck := time.AfterFunc(feedWindow, cancel)
+	recheck := time.AfterFunc(rootRecheckInterval, cancel)
 	defer recheck.Stop()
 	err := Feed(ctx, f.Store, f.Holder)
 	if ctx.Err() != nil {
@@ -135,35 +139,35 @@
 }
 
 const (
-	// feedWindow is how often a relay asks itself whether it still is one.
-	feedWindow = 9 * time.Second
-	// bootstrapWait is how often a follower looks whether there is a first configuration.
-	bootstrapWait = 50 * time.Millisecond
+	// rootRecheckInterval is how often a root checks whether it still is one.
+	rootRecheckInterval = 9 * time.Second
+	// bootstrapPollInterval is how often a follower checks whether Bootstrap has loaded a configuration.
+	bootstrapPollInterval = 50 * time.Millisecond
 )
 
-// ranked returns the domain's nodes by rank, those that failed lately left out; the node itself is always among them.
-func (f *Follower) ranked() []plan.Node {
+// rankedNodes returns the domain's nodes by rank without those that failed recently. The node itself is always included.
+func (f *Follower) rankedNodes() []plan.Node {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	candidates := []plan.Node{f.Self}
 	for _, n := range f.Holder.View().Nodes() {
-		if n.Name != f.Self.Name && n.Domain == f.Self.Domain && time.Since(f.failed[n.Name]) > coolDown {
+		if n.Name != f.Self.Name && n.Domain == f.Self.Domain && time.Since(f.failedAt[n.Name]) > failedRelayCooldown {
 			candidates = append(candidates, n)
 		}
 	}
 	return Rank(candidates)
 }
 
-func (f *Follower) fail(node string) {
+func (f *Follower) markFailed(node string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.failed == nil {
-		f.failed = map[string]time.Time{}
+	if f.failedAt == nil {
+		f.failedAt = map[string]time.Time{}
 	}
-	f.failed[node] = time.Now()
+	f.failedAt[node] = time.Now()
 }
 
-// Rank orders the nodes of a failure domain by rendezvous hash; the first Parents of them watch the store.
+// Rank sorts the nodes of a failure domain by a hash of their names, in place. The first Parents nodes are the roots, which watch the store.
 func Rank(nodes []plan.Node) []plan.Node {
 	slices.SortFunc(nodes, func(a, b plan.Node) int {
 		if c := cmp.Compare(xxhash.Sum64String(b.Name), xxhash.Sum64String(a.Name)); c != 0 {
@@ -174,31 +178,32 @@
 	return nodes
 }
 
-// Bootstrap fills the holder at start: from the store, else from any listed
-// instance. It reports whether the store itself answered, which an agent needs
-// before it wakes a slot.
+// Bootstrap loads the first configuration from the store or, if the store does
+// not answer, from listed instances. It reports whether it came from the store,
+// which an agent requires before it loads a model into a slot.
 func (f *Follower) Bootstrap(ctx context.Context) (bool, error) {
 	_, err := Load(ctx, f.Store, f.Holder)
 	if err == nil {
 		return true, nil
 	}
-	f.Log.Warn("store does not answer at start, asking peers", zap.Error(err))
+	f.Log.Warn("reading the configuration from the store failed; pulling it from peers", zap.Error(err))
 	instances, listErr := f.List.Instances(ctx)
 	if listErr != nil {
 		return false, listErr
 	}
-	return false, f.pullHighest(ctx, instances)
+	return false, f.pullFromPeers(ctx, instances)
 }
 
-// pullHighest pulls from a few instances, nearest first, so that the highest revision among them is kept.
-func (f *Follower) pullHighest(ctx context.Context, instances []fleet.Instance) error {
+// pullFromPeers pulls from up to maxBootstrapPeers instances, nearest first. The holder keeps the highest
+// revision among them. It fails only if no instance could be pulled from.
+func (f *Follower) pullFromPeers(ctx context.Context, instances []fleet.Instance) error {
 	slices.SortStableFunc(instances, func(a, b fleet.Instance) int {
 		return cmp.Compare(f.distance(a), f.distance(b))
 	})
-	var last error
+	var lastErr error
 	reached := 0
 	for _, i := range instances {
-		if i.Name == f.Self.Name || i.Address == "" || reached == bootstrapPeers {
+		if i.Name == f.Self.Name || i.Address == "" || reached == maxBootstrapPeers {
 			continue
 		}
 		conn, err := f.Pool.Get(ctx, i.Address)
@@ -206,7 +211,7 @@
 			err = Pull(ctx, conn, f.Holder, Pulled{})
 		}
 		if err != nil {
-			last = err
+			lastErr = err
 			continue
 		}
 		reached++
@@ -214,12 +219,13 @@
 	if reached > 0 {
 		return nil
 	}
-	return last
+	return lastErr
 }
 
-// bootstrapPeers is how many peers a node asks while the store is away.
-const bootstrapPeers = 3
+// maxBootstrapPeers is how many peers a node pulls from at start when the store is unreachable.
+const maxBootstrapPeers = 3
 
+// distance is 0 for an instance in the node's failure domain, 1 in its region and 2 elsewhere.
 func (f *Follower) distance(i fleet.Instance) int {
 	switch {
 	case i.Domain == f.Self.Domain:
--- a/internal/link/spread/relay.go
+++ b/internal/link/spread/relay.go
@@ -15,33 +15,34 @@
 )
 
 const (
-	// pageBytes bounds the values of one page.
+	// pageBytes is the size of a page's entries above which the next page begins.
 	pageBytes = 128 << 10
-	// maxWait bounds how long a reply is held back.
-	maxWait = 10 * time.Second
-	// appliedFor is how long a follower's last word on its revision counts.
-	appliedFor = 4 * maxWait
+	// maxReplyDelay bounds how long a reply is delayed while there is nothing newer.
+	maxReplyDelay = 10 * time.Second
+	// followerExpiry is how long a follower's last reported revision stays valid.
+	followerExpiry = 4 * maxReplyDelay
 )
 
-// Relay answers other nodes' Sync calls from the node's own view.
+// Relay serves configuration to other nodes from the node's own view and tracks their revisions.
 type Relay struct {
-	self    string
-	holder  *view.Holder
-	mu      sync.Mutex
-	applied map[string]applied
+	self      string
+	holder    *view.Holder
+	mu        sync.Mutex
+	followers map[string]followerState
 }
 
-// applied is a follower's last word.
-type applied struct {
-	revision int64
-	at       time.Time
-	// below is the connection to ask for the nodes that follow the follower; nil if none do or another relay asks.
-	below *peer.Conn
+// followerState is what a follower last reported.
+type followerState struct {
+	revision   int64
+	reportedAt time.Time
+	// subtreeConn is the connection for asking the follower about its own followers. It is nil if there are
+	// none or if this relay is its second parent, since the first one asks.
+	subtreeConn *peer.Conn
 }
 
-// NewRelay returns a relay of the holder's view on a node and registers its calls.
+// NewRelay returns a relay that serves the holder's view of node self, and registers its calls on mux.
 func NewRelay(self string, holder *view.Holder, mux *peer.Mux) *Relay {
-	r := &Relay{self: self, holder: holder, applied: map[string]applied{}}
+	r := &Relay{self: self, holder: holder, followers: map[string]followerState{}}
 	peer.OnCall(mux, wire.MethodSync, r.sync)
 	peer.OnCall(mux, wire.MethodApplied, func(ctx context.Context, _ *peer.Conn, _ struct{}) (wire.Applied, error) {
 		return wire.Applied{Nodes: r.Applied(ctx)}, nil
@@ -49,16 +50,16 @@
 	return r
 }
 
-// appliedTimeout bounds the question to one follower about the nodes below it.
-const appliedTimeout = time.Second
+// subtreeCallTimeout bounds the calls to followers about the nodes below them.
+const subtreeCallTimeout = time.Second
 
-// Applied returns the revisions that the node itself and all nodes below it have in force.
+// Applied returns the revisions in force on the node itself and on all nodes below it, by node name.
 func (r *Relay) Applied(ctx context.Context) map[string]int64 {
-	out, below := r.followers()
-	out[r.self] = r.holder.View().Revision()
-	ctx, cancel := context.WithTimeout(ctx, appliedTimeout)
+	revisions, subtreeConns := r.followerRevisions()
+	revisions[r.self] = r.holder.View().Revision()
+	ctx, cancel := context.WithTimeout(ctx, subtreeCallTimeout)
 	defer cancel()
-	answers := iter.Map(below, func(c **peer.Conn) wire.Applied {
+	answers := iter.Map(subtreeConns, func(c **peer.Conn) wire.Applied {
 		var reply wire.Applied
 		if (*c).Call(ctx, wire.MethodApplied, struct{}{}, &reply) != nil {
 			return wire.Applied{}
@@ -67,60 +68,61 @@
 	})
 	for _, a := range answers {
 		for node, revision := range a.Nodes {
-			out[node] = max(out[node], revision)
+			revisions[node] = max(revisions[node], revision)
 		}
 	}
-	return out
+	return revisions
 }
 
-// followers returns the direct followers' revisions and the connections to those with nodes below them.
-func (r *Relay) followers() (map[string]int64, []*peer.Conn) {
+// followerRevisions returns the direct followers' revisions and the connections to those that have followers.
+func (r *Relay) followerRevisions() (map[string]int64, []*peer.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	maps.DeleteFunc(r.applied, func(_ string, a applied) bool { return time.Since(a.at) > appliedFor })
-	out := make(map[string]int64, len(r.applied)+1)
-	var below []*peer.Conn
-	for node, a := range r.applied {
-		out[node] = a.revision
-		if a.below != nil {
-			below = append(below, a.below)
+	maps.DeleteFunc(r.followers, func(_ string, a followerState) bool { return time.Since(a.reportedAt) > followerExpiry })
+	revisions := make(map[string]int64, len(r.followers)+1)
+	var subtreeConns []*peer.Conn
+	for node, a := range r.followers {
+		revisions[node] = a.revision
+		if a.subtreeConn != nil {
+			subtreeConns = append(subtreeConns, a.subtreeConn)
 		}
 	}
-	return out, below
+	return revisions, subtreeConns
 }
 
-// Busy reports whether other nodes follow this one.
+// Busy reports whether other nodes follow this node.
 func (r *Relay) Busy() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.applied) > 0
+	return len(r.followers) > 0
 }
 
-func (r *Relay) note(c *peer.Conn, req wire.Sync) {
+func (r *Relay) recordFollower(c *peer.Conn, req wire.Sync) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	a := applied{revision: req.Applied, at: time.Now()}
+	a := followerState{revision: req.Applied, reportedAt: time.Now()}
 	if req.Relays && req.Parent == 0 {
-		a.below = c
+		a.subtreeConn = c
 	}
-	r.applied[req.Node] = a
+	r.followers[req.Node] = a
 }
 
-// sync replies with what is newer than the caller's revision, holding the reply back while nothing is.
+// sync replies with the changes after the caller's revision. While there are none it delays the reply up
+// to the requested wait.
 func (r *Relay) sync(ctx context.Context, c *peer.Conn, req wire.Sync) (wire.SyncReply, error) {
 	if req.Node != "" {
-		r.note(c, req)
+		r.recordFollower(c, req)
 	}
 	if req.Wait > 0 {
-		waiting, cancel := context.WithTimeout(ctx, min(req.Wait, maxWait))
+		waiting, cancel := context.WithTimeout(ctx, min(req.Wait, maxReplyDelay))
 		defer cancel()
-		r.wait(waiting, c, req.Since)
+		r.waitForNewer(waiting, c, req.Since)
 	}
-	return page(r.holder.View().Since(req.Since), req.Cursor), nil
+	return nextPage(r.holder.View().Since(req.Since), req.Cursor), nil
 }
 
-// wait returns when the view is newer than the revision, the connection ends or the context does.
-func (r *Relay) wait(ctx context.Context, c *peer.Conn, revision int64) {
+// waitForNewer waits until the view is newer than the revision, or the connection or the context ends.
+func (r *Relay) waitForNewer(ctx context.Context, c *peer.Conn, revision int64) {
 	for {
 		v, changed := r.holder.Changed()
 		if v.Revision() > revision {
@@ -136,15 +138,15 @@
 	}
 }
 
-// page cuts a delta to the entries after the cursor that fit one message.
-func page(d view.Delta, cursor int64) wire.SyncReply {
+// nextPage returns the entries of a delta after the cursor, cut to about pageBytes.
+func nextPage(d view.Delta, cursor int64) wire.SyncReply {
 	reply := wire.SyncReply{Delta: view.Delta{Revision: d.Revision, Full: d.Full}}
 	size := 0
 	for i, e := range d.Entries {
 		if e.Revision <= cursor {
 			continue
 		}
-		size += len(e.Key) + len(e.Value) + entryOverhead
+		size += len(e.Key) + len(e.Value) + entryOverheadBytes
 		// Entries of one revision stay together, because the cursor cannot point between them.
 		if size > pageBytes && i > 0 && d.Entries[i-1].Revision != e.Revision && len(reply.Delta.Entries) > 0 {
 			reply.More = true
@@ -156,23 +158,23 @@
 	return reply
 }
 
-// entryOverhead is the size of an entry's field names and numbers on the wire.
-const entryOverhead = 64
+// entryOverheadBytes is the encoded size of an entry's field names and numbers.
+const entryOverheadBytes = 64
 
-// Pulled describes one pull.
+// Pulled holds the options of a pull.
 type Pulled struct {
-	// Node is named where the relay is to note the node as a follower.
+	// Node is the name under which the relay records the caller as a follower; empty if it should not.
 	Node   string
 	Parent int
 	Relays bool
-	// Wait is how long the relay may hold back its reply while it has nothing newer.
+	// Wait is how long the relay may delay its reply while it has nothing newer.
 	Wait time.Duration
 }
 
-// replyTimeout is how long a relay may take beside the wait it was allowed.
-const replyTimeout = time.Second
+// replyGrace is the time allowed for a reply on top of the requested wait.
+const replyGrace = time.Second
 
-// Pull brings the holder up to date from one connection.
+// Pull fetches the changes after the holder's revision, page by page, and applies them to the holder together.
 func Pull(ctx context.Context, c *peer.Conn, holder *view.Holder, p Pulled) error {
 	req := wire.Sync{Since: holder.View().Revision(), Node: p.Node, Parent: p.Parent, Relays: p.Relays, Wait: p.Wait}
 	req.Applied = req.Since
@@ -193,12 +195,12 @@
 }
 
 func pullPage(ctx context.Context, c *peer.Conn, req wire.Sync) (reply wire.SyncReply, err error) {
-	ctx, cancel := context.WithTimeout(ctx, req.Wait+replyTimeout)
+	ctx, cancel := context.WithTimeout(ctx, req.Wait+replyGrace)
 	defer cancel()
 	return reply, c.Call(ctx, wire.MethodSync, req, &reply)
 }
 
-// Entry turns a stored value into a view's entry.
+// Entry converts a stored value to an entry of the view.
 func Entry(key string, value []byte, revision int64, deleted bool) view.Entry {
 	e := view.Entry{Key: key, Revision: revision, Deleted: deleted}
 	if !deleted {
--- a/internal/link/wire/doc.go
+++ b/internal/link/wire/doc.go
@@ -1,2 +1,2 @@
-// Package wire defines the messages between the system's processes.
+// Package wire defines the messages that the processes exchange: method names and their parameters and replies.
 package wire
--- a/internal/link/wire/messages.go
+++ b/internal/link/wire/messages.go
@@ -8,86 +8,86 @@
 	"foxtailcroft/internal/core/view"
 )
 
-// The methods of calls and notifications.
+// Names of the methods of calls and notifications.
 const (
-	// MethodPart carries a piece of a request's body ahead of its Run.
+	// MethodPart sends a part of a request body ahead of its Run.
 	MethodPart = "Part"
-	// MethodRun starts an attempt, or attaches to it if it is known.
+	// MethodRun starts an attempt, or attaches to it if the agent already has it.
 	MethodRun = "Run"
-	// MethodRevoke ends an attempt and says whether it had run.
+	// MethodRevoke ends an attempt and returns whether it may have run.
 	MethodRevoke = "Revoke"
-	// MethodDone closes an answer.
+	// MethodDone marks the end of an answer.
 	MethodDone = "Done"
-	// MethodAck lets the agent forget an answer.
+	// MethodAck confirms receipt of an answer, so that the agent can discard it.
 	MethodAck = "Ack"
-	// MethodSync asks for configuration newer than a revision.
+	// MethodSync requests the configuration changes after a revision.
 	MethodSync = "Sync"
-	// MethodLeaving says that the sender takes no new work.
+	// MethodLeaving announces that the sender accepts no new work.
 	MethodLeaving = "Leaving"
-	// MethodReport asks an agent for its state.
+	// MethodReport requests an agent's state.
 	MethodReport = "Report"
-	// MethodRelease asks an agent to confirm that a slot is released.
+	// MethodRelease requests an agent's confirmation that a slot is released.
 	MethodRelease = "Release"
-	// MethodApplied asks a relay which revisions its followers have in force.
+	// MethodApplied requests the revisions in force on a relay and the nodes below it.
 	MethodApplied = "Applied"
-	// MethodPermit asks for the right to load from the weight store.
+	// MethodPermit requests or returns a permit to load from the weight store.
 	MethodPermit = "Permit"
 )
 
-// StreamPiece is the kind of the stream messages that carry a Piece.
+// StreamPiece is the kind of stream message that carries a Piece.
 const StreamPiece byte = 1
 
-// PartBytes is the size of the pieces in which bodies travel.
+// PartBytes is the size in bytes of the parts that a request body is split into.
 const PartBytes = 64 << 10
 
-// Part is a piece of a request's body; one at offset 0 begins the body anew.
+// Part is a part of a request body. A part at offset 0 restarts the body.
 type Part struct {
 	Attempt string
 	Offset  int
 	Data    []byte
 }
 
-// Run starts an attempt. A Run with the id of a known attempt attaches to it instead.
+// Run starts an attempt. If the agent already has an attempt with this ID, Run attaches to it instead.
 type Run struct {
 	Attempt string
 	Request string
 	// Remaining is the time left until the caller's deadline.
 	Remaining time.Duration
 	Class     kinds.Class
-	// Model and Adapter name what generates; Service names a plain service instead.
+	// Model and Adapter name what generates the answer. For a call of a plain service, Service is set instead.
 	Model   string     `json:",omitempty"`
 	Adapter string     `json:",omitempty"`
 	Service string     `json:",omitempty"`
 	Plain   *PlainCall `json:",omitempty"`
 	Key     string     `json:",omitempty"`
 	Resume  Resume     `json:",omitzero"`
-	// BodyBytes is the total size of the parts sent ahead.
+	// BodyBytes is the total size of the body, whose parts are sent before the Run.
 	BodyBytes int
-	// Epoch is the agent's epoch that the sender believes in; Resent says that an earlier send may have arrived.
+	// Epoch is the agent's epoch as known to the sender. Resent is true if an earlier send may have arrived.
 	Epoch  int64
 	Resent bool
-	// From is the number of pieces that the sender already has.
+	// From is the number of answer pieces that the sender already received.
 	From int
-	// Revision is the configuration that the sender acts on.
+	// Revision is the sender's configuration revision.
 	Revision int64
-	// Final forbids a redirect: the sender has nowhere else to go.
+	// Final is true if the sender has no other endpoint to try, so a redirect is of no use.
 	Final bool
 }
 
-// Resume continues a generation after the tokens that another attempt delivered.
+// Resume holds the tokens that an earlier attempt delivered, after which generation continues.
 type Resume struct {
 	Tokens int
 	Text   string
 }
 
-// PlainCall is a call of a plain service but its body.
+// PlainCall is a call of a plain service without its body.
 type PlainCall struct {
 	Method     string
 	Path       string
 	Query      string
 	Header     map[string][]string
 	Idempotent bool
-	// Partition is the claim log that the key belongs to.
+	// Partition is the claim log partition of the idempotency key.
 	Partition int
 }
 
@@ -99,20 +99,20 @@
 	Epoch    int64
 }
 
-// Load is what an agent tells of one model or service with every reply.
+// Load is an agent's load for one model or service, sent with every reply.
 type Load struct {
 	Loaded bool
-	// Running and Queued count requests; Capacity is how many run at once.
+	// Running and Queued are numbers of requests. Capacity is the maximum of Running.
 	Running  int
 	Queued   int
 	Capacity int
-	// Service is the mean time of one request.
+	// Service is the mean service time of a request.
 	Service time.Duration
-	// Cold is the expected time of a load.
+	// Cold is the expected load time.
 	Cold time.Duration
 }
 
-// Piece is a part of an answer; Seq counts from 0 without gaps.
+// Piece is a part of an answer. Seq counts from 0 without gaps.
 type Piece struct {
 	//lint:ignore U1000 the codec reads the tag
 	_msgpack struct{} `msgpack:",as_array"`
@@ -131,7 +131,8 @@
 	Header map[string][]string
 }
 
-// Done closes an answer: either all Pieces were sent and their data has the digest, or Refusal says why not.
+// Done marks the end of an answer. Either Refusal is set, or Pieces pieces were sent and Digest is the
+// digest of their data.
 type Done struct {
 	Attempt string
 	Pieces  int
@@ -139,10 +140,10 @@
 	Refusal *fault.Refusal `json:",omitempty"`
 	// Finish is the engine's finish reason.
 	Finish string
-	// Wait is the time until the first token, Cold whether it included a load.
+	// Wait is the time to first token. Cold is true if it included a load.
 	Wait time.Duration
 	Cold bool
-	// Replayed is true for an answer kept under an idempotency key.
+	// Replayed is true for a stored answer to an earlier call with the same idempotency key.
 	Replayed bool
 	Load     Load
 	Revision int64
@@ -151,64 +152,64 @@
 // Revoke ends an attempt.
 type Revoke struct {
 	Attempt string
-	// Epoch is the agent's epoch that the attempt was sent to.
+	// Epoch is the epoch of the agent that the attempt was sent to.
 	Epoch int64
 }
 
-// RevokeReply says whether the attempt can have run.
+// RevokeReply tells whether the attempt may have run.
 type RevokeReply struct {
 	// NotRun is true if the attempt did not run and never will.
 	NotRun bool
 }
 
-// Ack lets the agent forget an answer.
+// Ack confirms receipt of an answer, so that the agent can discard it.
 type Ack struct {
 	Attempt string
 }
 
-// Sync asks for configuration newer than Since.
+// Sync requests the configuration changes after revision Since.
 type Sync struct {
 	Since int64
-	// Cursor is the revision up to which earlier pages of a full answer came.
+	// Cursor is the revision of the last entry of the previous page; 0 requests the first page.
 	Cursor int64
-	// Wait is how long the reply may be held back while there is nothing newer.
+	// Wait is how long the reply may be delayed while there is nothing newer.
 	Wait time.Duration
 	Node string
 	// Applied is the revision that the node has in force.
 	Applied int64
 	// Parent is 0 if the receiver is the node's first relay, 1 if its second.
 	Parent int
-	// Relays says that other nodes follow the node.
+	// Relays is true if other nodes follow the node.
 	Relays bool
 }
 
 // SyncReply is a page of configuration.
 type SyncReply struct {
 	Delta view.Delta
-	// More says that the next page follows at Cursor.
+	// More is true if another page follows, to be requested with Cursor.
 	More   bool
 	Cursor int64
 }
 
-// Leaving names a node that takes no new work.
+// Leaving announces that a node accepts no new work.
 type Leaving struct {
 	Node  string
 	Epoch int64
 }
 
-// Applied lists the revisions that a relay and the nodes below it have in force.
+// Applied holds the revisions in force on a relay and on the nodes below it, by node name.
 type Applied struct {
 	Nodes map[string]int64
 }
 
-// Release asks for confirmation that a slot is released under a plan at least as new as Revision.
+// Release requests confirmation that a slot is released under a plan at least as new as Revision.
 type Release struct {
 	Model    string
 	Number   int64
 	Revision int64
 }
 
-// ReleaseReply confirms a release.
+// ReleaseReply tells whether the slot is released and, if not, why.
 type ReleaseReply struct {
 	Released bool
 	Reason   string
@@ -223,12 +224,12 @@
 	MemoryBytes int64
 	UsedBytes   int64
 	Items       []Item
-	// Cached lists the checkpoints that the endpoint has near: memory, disk.
+	// Cached maps each checkpoint cached at the endpoint to where it is: memory or disk.
 	Cached map[string]string `json:",omitempty"`
 	Queued int
 }
 
-// Item is one model or adapter at an endpoint.
+// Item is the state of one model or adapter at an endpoint.
 type Item struct {
 	Model   string
 	Adapter string `json:",omitempty"`
@@ -237,7 +238,8 @@
 	Bytes   int64
 	Running int
 	Queued  int
-	// LastUsed is when a request last ended; Loads counts loads, Idle sums loaded time without a request.
+	// LastUsed is when a request last ended. Loads is the number of loads, Idle the total time loaded
+	// without a request.
 	LastUsed time.Time
 	LastWake time.Time
 	Loads    int64
@@ -245,19 +247,19 @@
 	ColdP99  time.Duration
 }
 
-// Permit asks for the right to load from the weight store.
+// Permit requests a permit to load from the weight store, or returns it if Done is set.
 type Permit struct {
 	Node    string
 	Item    string
 	Adapter bool
-	// Remaining is the time until the most urgent waiter's deadline.
+	// Remaining is the time until the earliest deadline of the waiting requests.
 	Remaining time.Duration
 	Class     kinds.Class
-	// Done gives the permit back.
+	// Done returns the permit.
 	Done bool
 }
 
-// PermitReply grants a permit.
+// PermitReply tells whether the permit was granted.
 type PermitReply struct {
 	Granted bool
 }
