--- a/internal/link/peer/conn.go
+++ b/internal/link/peer/conn.go
@@ -95,12 +95,12 @@
 
 // newConn wraps a transport in a Conn and starts its reader and heartbeat.
 func newConn(ctx context.Context, raw net.Conn, address string, mux *Mux) *Conn {
-	pipe := &monitoredConn{Conn: raw}
-	pipe.lastRead.Store(time.Now().UnixNano())
-	c := &Conn{address: address, mux: mux, transport: pipe}
+	transport := &monitoredConn{Conn: raw}
+	transport.lastRead.Store(time.Now().UnixNano())
+	c := &Conn{address: address, mux: mux, transport: transport}
 	c.remote.Store(&Hello{})
 	ready := make(chan struct{})
-	c.frames = newFrameStream(pipe, func(kind byte, data []byte) {
+	c.frames = newFrameStream(transport, func(kind byte, data []byte) {
 		<-ready
 		c.dispatchStream(kind, data)
 	})
--- a/internal/node/agent/agent.go
+++ b/internal/node/agent/agent.go
@@ -27,13 +27,13 @@
 	"foxtailcroft/internal/node/member"
 )
 
-// Backs are the back ends of an agent; one of them is set.
+// Backs holds the back end of an agent. Exactly one field is set.
 type Backs struct {
 	Engine engine.Engine
 	Plain  plain.Service
 }
 
-// Agent is an agent process.
+// Agent is the agent process of one endpoint.
 type Agent struct {
 	Member   *member.Member
 	Web      *httpd.Server
@@ -42,38 +42,39 @@
 	Slots    *slots.Manager
 	gate     *gate.Gate
 	guard    *guard.Guard
-	set      conf.Agent
+	settings conf.Agent
 	log      *zap.Logger
 	deposed  chan struct{}
 }
 
 const (
-	// predecessorGrace covers a predecessor's order that is still on its way: each order message is bounded by it.
-	predecessorGrace = 4 * time.Second
-	readBackEvery    = 5 * time.Second
-	expireEvery      = time.Minute
+	// predecessorGrace is how long a load or unload order of the previous agent can still be in transit. It is
+	// needed for engines that do not check the fencing token; every order message times out within it.
+	predecessorGrace  = 4 * time.Second
+	readBackInterval  = 5 * time.Second
+	keyExpiryInterval = time.Minute
 )
 
-// New returns an agent that does not serve yet, and the function that closes it.
-func New(set conf.Agent, o member.Options, backs Backs) (*Agent, func()) {
+// New returns an agent, to be started with Start, and the function that closes it.
+func New(settings conf.Agent, o member.Options, backs Backs) (*Agent, func()) {
 	m, closeMember := member.New(o)
 	a := &Agent{
-		Member: m, Web: httpd.New(o.Meters, 0), Registry: tries.NewRegistry(), set: set, log: o.Log,
+		Member: m, Web: httpd.New(o.Meters, 0), Registry: tries.NewRegistry(), settings: settings, log: o.Log,
 		guard: guard.New(o.Store, o.Self.Name), deposed: make(chan struct{}),
 	}
 	a.Worker = &work.Worker{
 		Self: o.Self, Incarnation: m.Incarnation, Holder: m.Holder, Registry: a.Registry, Log: o.Log.Named("Work"), Store: o.Store,
 	}
 	closeSlots := func() {}
-	if set.Engine != nil {
-		closeSlots = a.addEngine(backs.Engine)
+	if settings.Engine != nil {
+		closeSlots = a.setUpEngine(backs.Engine)
 	} else {
-		a.gate = gate.New(set.Service.Name)
+		a.gate = gate.New(settings.Service.Name)
 		a.Worker.Gate, a.Worker.Plain = a.gate, backs.Plain
 	}
 	a.Worker.Register(m.Mux)
 	peer.OnCall(m.Mux, wire.MethodReport, a.report)
-	peer.OnCall(m.Mux, wire.MethodRelease, a.release)
+	peer.OnCall(m.Mux, wire.MethodRelease, a.confirmRelease)
 	return a, func() {
 		closeMember()
 		a.Worker.Close()
@@ -81,14 +82,14 @@
 	}
 }
 
-// addEngine puts the slots in front of the engine.
-func (a *Agent) addEngine(eng engine.Engine) func() {
+// setUpEngine creates the slot manager for the engine and returns the function that closes it.
+func (a *Agent) setUpEngine(eng engine.Engine) func() {
 	s := slots.Settings{
-		Node: a.Member.Self.Name, MemoryBytes: a.set.Engine.MemoryBytes, OrderTimeout: a.set.Engine.OrderTimeout.Std(),
-		ReportLag: a.set.Engine.ReportLag.Std(), Check: a.guard.Check,
+		Node: a.Member.Self.Name, MemoryBytes: a.settings.Engine.MemoryBytes, OrderTimeout: a.settings.Engine.OrderTimeout.Std(),
+		ReportLag: a.settings.Engine.ReportLag.Std(), Check: a.guard.Check,
 		Note: logs.Audit(a.log),
 	}
-	if !a.set.Engine.ChecksFence {
+	if !a.settings.Engine.ChecksFence {
 		s.Grace = predecessorGrace
 	}
 	permits := &asks.Client{Self: a.Member.Self, Holder: a.Member.Holder, Pool: a.Member.Pool}
@@ -97,7 +98,8 @@
 	return closeSlots
 }
 
-// Start serves peers, and metrics on the listener if there is one, and takes the endpoint over.
+// Start adds the agent's tasks to the tree: it serves peers, takes over the
+// endpoint and, if metrics is not nil, serves metrics on that listener.
 func (a *Agent) Start(t *tree.Tree, metrics net.Listener) {
 	a.Member.Start(t)
 	t.OnClose(a.Web.Close)
@@ -112,16 +114,16 @@
 	})
 	t.Critical("Deposed", a.watchDeposed)
 	if a.Slots == nil {
-		t.Keep("Gate", a.followService)
+		t.Keep("Gate", a.watchService)
 		return
 	}
 	t.Keep("Slots", a.Slots.Run)
-	t.Keep("ReadBack", a.readBack)
+	t.Keep("ReadBack", a.pollEngine)
 }
 
-// watchDeposed ends the process, after the work in flight, when the endpoint
-// belongs to another agent: the engine has refused this one's epoch, or the
-// configuration shows a newer one.
+// watchDeposed drains the agent and returns an error, which ends the process,
+// once a newer agent owns the endpoint: the engine rejected this agent's epoch,
+// or the configuration contains a higher one.
 func (a *Agent) watchDeposed(ctx context.Context) error {
 	for {
 		v, changed := a.Member.Holder.Changed()
@@ -138,16 +140,17 @@
 		}
 		break
 	}
-	a.log.Warn("another agent has taken the endpoint over")
+	a.log.Warn("endpoint is owned by a newer agent; draining before exit")
 	a.Drain(ctx)
 	return fault.NotRun(fault.Deposed, "endpoint %q belongs to a newer agent", a.Member.Self.Name)
 }
 
-// takeOver makes this process the endpoint's agent. While the store is away it
-// serves what the engine already holds, by the configuration of its peers.
+// takeOver makes this process the endpoint's agent under a new epoch. While the
+// store is unreachable it serves the models that the engine has already loaded,
+// with the configuration of its peers.
 func (a *Agent) takeOver(ctx context.Context) {
 	if fromStore := a.bootstrap(ctx); !fromStore && a.Slots != nil {
-		a.readEngine(ctx, a.Slots.ReadBack)
+		a.retryEngineRead(ctx, a.Slots.ReadBack)
 	}
 	a.Web.SetReady(true)
 	epoch, err := a.Member.Join(ctx)
@@ -155,68 +158,70 @@
 		return
 	}
 	a.guard.SetEpoch(epoch)
-	// Only the store itself, read after the epoch was taken, may allow wakes.
+	// Models may be loaded only under a plan read from the store after the epoch was taken.
 	for ctx.Err() == nil {
 		fresh, err := spread.Load(ctx, a.Member.Store, a.Member.Holder)
 		if err == nil && fresh {
 			break
 		}
-		a.log.Warn("the plan was not read from the store yet", zap.Error(err))
+		a.log.Warn("reading the plan from the store failed or returned an older revision; retrying", zap.Error(err))
 		pause.For(ctx, time.Second)
 	}
 	if a.Slots != nil && ctx.Err() == nil {
-		a.readEngine(ctx, func(ctx context.Context) error { return a.Slots.Recover(ctx, epoch) })
+		a.retryEngineRead(ctx, func(ctx context.Context) error { return a.Slots.Recover(ctx, epoch) })
 		a.Slots.Confirm(epoch)
 		a.log.Info("endpoint taken over", zap.Int64("Epoch", epoch))
 	}
 }
 
-// bootstrap gets a first configuration and reports whether it came from the store.
+// bootstrap retries until it has a first configuration, and reports whether it came from the store.
 func (a *Agent) bootstrap(ctx context.Context) bool {
 	for ctx.Err() == nil {
 		fromStore, err := a.Member.Follower.Bootstrap(ctx)
 		if err == nil {
 			return fromStore
 		}
-		a.log.Warn("no configuration yet", zap.Error(err))
+		a.log.Warn("loading the first configuration failed; retrying", zap.Error(err))
 		pause.For(ctx, time.Second)
 	}
 	return false
 }
 
-// readEngine reads back what the engine holds, until the engine answers.
-func (a *Agent) readEngine(ctx context.Context, read func(context.Context) error) {
+// retryEngineRead calls read, with a one-second pause after a failure, until it succeeds.
+func (a *Agent) retryEngineRead(ctx context.Context, read func(context.Context) error) {
 	for ctx.Err() == nil {
 		err := read(ctx)
 		if err == nil {
 			return
 		}
-		a.log.Warn("engine was not read back", zap.Error(err))
+		a.log.Warn("reading the engine's state failed; retrying", zap.Error(err))
 		pause.For(ctx, time.Second)
 	}
 }
 
-// readBack looks for items that the engine holds without the agent's order.
-func (a *Agent) readBack(ctx context.Context) {
+// pollEngine reads the engine's state every readBackInterval, to find items that the engine holds without
+// an order of this agent.
+func (a *Agent) pollEngine(ctx context.Context) {
 	for ctx.Err() == nil {
-		pause.For(ctx, readBackEvery)
+		pause.For(ctx, readBackInterval)
 		if !a.Slots.Confirmed() {
 			continue
 		}
 		if err := a.Slots.ReadBack(ctx); err != nil && ctx.Err() == nil {
-			a.log.Warn("engine was not read back", zap.Error(err))
+			a.log.Warn("reading the engine's state failed; retrying at the next interval", zap.Error(err))
 		}
 	}
 }
 
-// followService applies the service's declared concurrency and forgets old idempotency keys.
-func (a *Agent) followService(ctx context.Context) {
-	expire := time.NewTicker(expireEvery)
+// watchService keeps the gate's capacity equal to the service's declared concurrency, and expires
+// idempotency keys every keyExpiryInterval.
+func (a *Agent) watchService(ctx context.Context) {
+	expire := time.NewTicker(keyExpiryInterval)
 	defer expire.Stop()
 	for {
 		v, changed := a.Member.Holder.Changed()
 		capacity := 0
-		if res, ok := v.Service(a.set.Service.Name); ok {
+		if res, ok := v.Service(a.settings.Service.Name); ok {
 			capacity = res.Service.Slots()
 		}
 		a.gate.SetCapacity(capacity)
@@ -230,21 +235,22 @@
 	}
 }
 
-// Drain refuses new work, tells the connected entries, and waits until every
-// answer has been collected or the limit has passed, past which each attempt
-// under way is ended honestly.
+// Drain rejects new work, announces this to the connected processes, and waits
+// until all answers are collected or the drain limit has passed. After the
+// limit, attempts that have not started are refused as not run, and running ones
+// fail.
 func (a *Agent) Drain(ctx context.Context) {
 	a.Web.SetReady(false)
 	a.Worker.Drain()
 	a.Member.Announce(a.guard.Epoch())
-	ctx, cancel := context.WithTimeout(ctx, a.set.Drain.Limit.Std())
+	ctx, cancel := context.WithTimeout(ctx, a.settings.Drain.Limit.Std())
 	defer cancel()
 	for a.Registry.Awaited() > 0 && ctx.Err() == nil {
-		pause.For(ctx, drainPoll)
+		pause.For(ctx, drainPollInterval)
 	}
 	for _, attempt := range a.Registry.Active() {
 		attempt.CutOff()
 	}
 }
 
-const drainPoll = 50 * time.Millisecond
+const drainPollInterval = 50 * time.Millisecond
--- a/internal/node/agent/doc.go
+++ b/internal/node/agent/doc.go
@@ -1,2 +1,3 @@
-// Package agent assembles an agent: the process beside one endpoint that owns its engine or plain service.
+// Package agent assembles the agent process, which runs beside one endpoint and controls access to its
+// model engine or plain service.
 package agent
--- a/internal/node/agent/report.go
+++ b/internal/node/agent/report.go
@@ -10,7 +10,7 @@
 	"foxtailcroft/internal/link/wire"
 )
 
-// report answers with the agent's state.
+// report returns the agent's state.
 func (a *Agent) report(context.Context, *peer.Conn, struct{}) (wire.Report, error) {
 	r := wire.Report{
 		Node: a.Member.Self.Name, Epoch: a.guard.Epoch(), Revision: a.Member.Holder.View().Revision(), Leaving: a.Worker.Draining(),
@@ -23,22 +23,23 @@
 	return r, nil
 }
 
-// viewTimeout bounds the wait for the plan that a release refers to.
-const viewTimeout = 800 * time.Millisecond
+// planWaitTimeout bounds the wait for the plan revision that a release request refers to.
+const planWaitTimeout = 800 * time.Millisecond
 
-// release confirms that a slot is released under a plan at least as new as the
-// planner's. The agent's view never goes back, and a successor reads the plan
-// from the store before it wakes anything, so a confirmed slot stays released.
-func (a *Agent) release(ctx context.Context, _ *peer.Conn, r wire.Release) (wire.ReleaseReply, error) {
+// confirmRelease tells whether a slot is released under a plan at least as new
+// as the planner's. A released slot stays released: the agent's view never goes
+// back to an older revision, and a successor reads the plan from the store
+// before it loads any model.
+func (a *Agent) confirmRelease(ctx context.Context, _ *peer.Conn, r wire.Release) (wire.ReleaseReply, error) {
 	if a.Slots == nil {
 		return wire.ReleaseReply{Reason: "no model engine here"}, nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, viewTimeout)
+	ctx, cancel := context.WithTimeout(ctx, planWaitTimeout)
 	defer cancel()
 	if err := a.Member.Holder.Wait(ctx, r.Revision-1); err != nil {
 		return wire.ReleaseReply{Reason: "the plan has not arrived"}, nil
 	}
 	released, reason := a.Slots.Released(r.Model, r.Number)
-	a.log.Info("release asked", zap.String("Model", r.Model), zap.Int64("Number", r.Number), zap.Bool("Released", released), zap.String("Reason", reason))
+	a.log.Info("slot release requested", zap.String("Model", r.Model), zap.Int64("Number", r.Number), zap.Bool("Released", released), zap.String("Reason", reason))
 	return wire.ReleaseReply{Released: released, Reason: reason}, nil
 }
--- a/internal/node/check/doc.go
+++ b/internal/node/check/doc.go
@@ -1,2 +1,2 @@
-// Package check sends a set of example requests through a deployment's entries and judges how each ends.
+// Package check sends example requests through the entries of a deployment and checks their outcomes.
 package check
--- a/internal/node/check/request.go
+++ b/internal/node/check/request.go
@@ -10,10 +10,10 @@
 	"foxtailcroft/internal/core/kinds"
 )
 
-// Request is one example request as its file declares it.
+// Request is an example request as declared in its file.
 type Request struct {
 	Name string `yaml:"Name" validate:"required"`
-	// Model is the model or adapter asked; Service, Method and Path name a plain call instead.
+	// Model names a model or adapter. For a call of a plain service, Service, Method and Path are set instead.
 	Model     string         `yaml:"Model" validate:"required_without=Service"`
 	Service   string         `yaml:"Service"`
 	Method    string         `yaml:"Method"`
@@ -24,11 +24,12 @@
 	MaxTokens int            `yaml:"MaxTokens" validate:"gte=0"`
 	Stream    bool           `yaml:"Stream"`
 	Key       string         `yaml:"Key"`
-	// Count is how often the request is sent at once, through all entries in turn; 0 stands for 1.
+	// Count is how many copies of the request are sent concurrently, distributed over the entries in turn;
+	// 0 means 1.
 	Count int `yaml:"Count" validate:"gte=0,lte=1024"`
-	// RunsOnce demands that a plain call ran exactly once.
+	// RunsOnce requires that the service executed the plain call exactly once.
 	RunsOnce bool `yaml:"RunsOnce"`
-	// Expect is Answered, or NotRun for a refusal that says so.
+	// Expect is Answered, or NotRun for a refusal with the header X-Not-Run: true.
 	Expect string `yaml:"Expect" validate:"oneof=Answered NotRun"`
 }
 
@@ -37,12 +38,12 @@
 	Content string `json:"content"`
 }
 
-// messages returns the chat messages of the request.
+// messages returns the prompt as chat messages.
 func (r Request) messages() []message {
 	return []message{{Role: "user", Content: r.Prompt}}
 }
 
-// body returns the HTTP body.
+// body returns the HTTP request body.
 func (r Request) body() ([]byte, error) {
 	if r.Service != "" {
 		return []byte(r.Prompt), nil
@@ -55,8 +56,8 @@
 	}{r.Model, r.Stream, r.MaxTokens, r.messages()})
 }
 
-// http returns the request for an entry.
-func (r Request) http(entry string, n int) (*http.Request, error) {
+// newHTTPRequest returns the HTTP request with number n for an entry's base URL.
+func (r Request) newHTTPRequest(entry string, n int) (*http.Request, error) {
 	body, err := r.body()
 	if err != nil {
 		return nil, err
--- a/internal/node/check/run.go
+++ b/internal/node/check/run.go
@@ -15,83 +15,87 @@
 	"foxtailcroft/internal/standin/motor"
 )
 
-// End is how one sent request ended.
-type End struct {
+// Outcome is the outcome of one copy of a request.
+type Outcome struct {
 	Status int
-	// NotRun is what a refusal said.
+	// NotRun is true if the response has the header X-Not-Run: true.
 	NotRun bool
-	Text   string
-	First  time.Duration
-	Took   time.Duration
-	Cold   string
-	Err    error
+	// Text is the generated text, or the whole body for a plain call or an error.
+	Text string
+	// TimeToFirstToken is 0 if no response arrived; without streaming it is the time to the whole response.
+	TimeToFirstToken time.Duration
+	// Duration is the time to the end of the response.
+	Duration time.Duration
+	// ColdStart is the value of the header X-Cold-Start; empty if absent.
+	ColdStart string
+	Err       error
 }
 
-// Result is how a request's sendings ended together.
+// Result holds the outcomes of all copies of a request.
 type Result struct {
-	Request Request
-	Ends    []End
-	// Faults are the promises that were not kept.
-	Faults []string
+	Request  Request
+	Outcomes []Outcome
+	// Failures describes the failed checks, each text once; it is empty if all passed.
+	Failures []string
 }
 
-// Line words the result for a terminal.
-func (r Result) Line(replicas string) string {
+// Summary formats the result as one line for a terminal, with replicas as a preformatted column.
+func (r Result) Summary(replicas string) string {
 	outcome := "ok"
-	if len(r.Faults) > 0 {
-		outcome = "FAILED " + strings.Join(r.Faults, "; ")
+	if len(r.Failures) > 0 {
+		outcome = "FAILED " + strings.Join(r.Failures, "; ")
 	}
 	first, cold := time.Duration(0), map[string]int{}
-	for _, e := range r.Ends {
-		first = max(first, e.First)
-		if e.Cold != "" {
-			cold[e.Cold]++
+	for _, e := range r.Outcomes {
+		first = max(first, e.TimeToFirstToken)
+		if e.ColdStart != "" {
+			cold[e.ColdStart]++
 		}
 	}
 	kind := ""
 	if r.Request.Service == "" {
 		kind = fmt.Sprintf(" cold=%d warm=%d", cold["true"], cold["false"])
 	}
-	return fmt.Sprintf("%-52s sent=%-3d %s first=%s%s%s: %s", r.Request.Name, len(r.Ends), r.Request.Expect, first.Round(time.Millisecond), kind, replicas, outcome)
+	return fmt.Sprintf("%-52s sent=%-3d %s first=%s%s%s: %s", r.Request.Name, len(r.Outcomes), r.Request.Expect, first.Round(time.Millisecond), kind, replicas, outcome)
 }
 
-// Send sends a request as often as it says, through the entries in turn, all at once.
+// Send sends Count copies of a request concurrently, distributed over the entries in turn, and checks the outcomes.
 func Send(client *http.Client, entries []string, r Request) Result {
 	numbers := make([]int, max(1, r.Count))
 	for i := range numbers {
 		numbers[i] = i
 	}
-	send := iter.Mapper[int, End]{MaxGoroutines: len(numbers)}
-	res := Result{Request: r, Ends: send.Map(numbers, func(n *int) End {
-		return one(client, entries[*n%len(entries)], r, *n)
+	send := iter.Mapper[int, Outcome]{MaxGoroutines: len(numbers)}
+	res := Result{Request: r, Outcomes: send.Map(numbers, func(n *int) Outcome {
+		return sendOnce(client, entries[*n%len(entries)], r, *n)
 	})}
-	for _, e := range res.Ends {
-		if fault := judge(r, e); fault != "" && !slices.Contains(res.Faults, fault) {
-			res.Faults = append(res.Faults, fault)
+	for _, e := range res.Outcomes {
+		if failure := checkOutcome(r, e); failure != "" && !slices.Contains(res.Failures, failure) {
+			res.Failures = append(res.Failures, failure)
 		}
 	}
 	return res
 }
 
-// judge returns which promise an end breaks, or nothing.
-func judge(r Request, e End) string {
+// checkOutcome describes the first failed check of an outcome, or returns an empty string.
+func checkOutcome(r Request, outcome Outcome) string {
 	switch {
-	case e.Err != nil:
-		return e.Err.Error()
-	case e.Took > r.Timeout.Std():
-		return fmt.Sprintf("ended after %s, past its deadline", e.Took)
-	case r.Expect == "NotRun" && !e.NotRun:
-		return fmt.Sprintf("status %d without X-Not-Run: true", e.Status)
-	case r.Expect == "Answered" && e.Status/100 != 2:
-		return fmt.Sprintf("status %d: %s", e.Status, e.Text)
-	case r.Expect == "Answered" && r.Model != "" && e.Text != wanted(r):
-		return fmt.Sprintf("answer %q is not the whole answer", e.Text)
+	case outcome.Err != nil:
+		return outcome.Err.Error()
+	case outcome.Duration > r.Timeout.Std():
+		return fmt.Sprintf("ended after %s, past its deadline", outcome.Duration)
+	case r.Expect == "NotRun" && !outcome.NotRun:
+		return fmt.Sprintf("status %d without X-Not-Run: true", outcome.Status)
+	case r.Expect == "Answered" && outcome.Status/100 != 2:
+		return fmt.Sprintf("status %d: %s", outcome.Status, outcome.Text)
+	case r.Expect == "Answered" && r.Model != "" && outcome.Text != expectedAnswer(r):
+		return fmt.Sprintf("answer %q is not the whole answer", outcome.Text)
 	}
 	return ""
 }
 
-// wanted returns the stand-in's whole answer.
-func wanted(r Request) string {
+// expectedAnswer returns the complete answer that the stand-in engine gives to the request.
+func expectedAnswer(r Request) string {
 	messages, err := json.Marshal(r.messages())
 	if err != nil {
 		return ""
@@ -99,30 +103,30 @@
 	return motor.Answer(messages, r.MaxTokens)
 }
 
-// one sends the request once.
-func one(client *http.Client, entry string, r Request, n int) End {
-	req, err := r.http(entry, n)
+// sendOnce sends one copy of the request to an entry and reads the response.
+func sendOnce(client *http.Client, entry string, r Request, n int) Outcome {
+	req, err := r.newHTTPRequest(entry, n)
 	if err != nil {
-		return End{Err: err}
+		return Outcome{Err: err}
 	}
 	began := time.Now()
 	resp, err := client.Do(req)
 	if err != nil {
-		return End{Err: err}
+		return Outcome{Err: err}
 	}
 	defer func() { _ = resp.Body.Close() }()
-	e := End{Status: resp.StatusCode, NotRun: resp.Header.Get("X-Not-Run") == "true", Cold: resp.Header.Get("X-Cold-Start")}
+	e := Outcome{Status: resp.StatusCode, NotRun: resp.Header.Get("X-Not-Run") == "true", ColdStart: resp.Header.Get("X-Cold-Start")}
 	switch {
 	case resp.StatusCode/100 == 2 && r.Stream:
-		e.Text, e.First, e.Err = readStream(resp.Body, began)
+		e.Text, e.TimeToFirstToken, e.Err = readStream(resp.Body, began)
 	case resp.StatusCode/100 == 2 && r.Model != "":
-		e.Text, e.Err = readWhole(resp.Body)
-		e.First = time.Since(began)
+		e.Text, e.Err = readAnswer(resp.Body)
+		e.TimeToFirstToken = time.Since(began)
 	default:
 		data, err := io.ReadAll(resp.Body)
-		e.Text, e.Err, e.First = string(data), err, time.Since(began)
+		e.Text, e.Err, e.TimeToFirstToken = string(data), err, time.Since(began)
 	}
-	e.Took = time.Since(began)
+	e.Duration = time.Since(began)
 	return e
 }
 
@@ -133,7 +137,7 @@
 	} `json:"choices"`
 }
 
-func readWhole(body io.Reader) (string, error) {
+func readAnswer(body io.Reader) (string, error) {
 	var c completion
 	if err := json.NewDecoder(body).Decode(&c); err != nil {
 		return "", err
@@ -144,7 +148,7 @@
 	return c.Choices[0].Message.Content, nil
 }
 
-// readStream reads server-sent events up to the end marker.
+// readStream reads server-sent events up to the end marker. It returns the text and the time to first token.
 func readStream(body io.Reader, began time.Time) (text string, first time.Duration, err error) {
 	lines := bufio.NewScanner(body)
 	for lines.Scan() {
--- a/internal/node/check/suite.go
+++ b/internal/node/check/suite.go
@@ -14,17 +14,17 @@
 	"foxtailcroft/internal/oper/remote"
 )
 
-// Failed reports how many requests did not end as promised.
-type Failed struct {
+// FailedError reports how many example requests failed their checks.
+type FailedError struct {
 	Count int
 }
 
-// Error gives the count.
-func (f *Failed) Error() string {
-	return fmt.Sprintf("%d requests did not end as promised", f.Count)
+// Error returns the count as text.
+func (f *FailedError) Error() string {
+	return fmt.Sprintf("%d example requests failed their checks", f.Count)
 }
 
-// Resources reads the resource files of a directory.
+// Resources reads the resources in the YAML files of a directory.
 func Resources(files fs.FS) ([]kinds.Resource, error) {
 	names, err := fs.Glob(files, "*.yaml")
 	if err != nil {
@@ -45,7 +45,7 @@
 	return out, nil
 }
 
-// Requests reads the request files of the directory "requests".
+// Requests reads the example requests in the YAML files of the directory "requests".
 func Requests(files fs.FS) ([]Request, error) {
 	names, err := fs.Glob(files, path.Join("requests", "*.yaml"))
 	if err != nil {
@@ -66,7 +66,8 @@
 	return out, nil
 }
 
-// Apply puts resources through an entry, in an order in which references hold, repeating while the entry starts.
+// Apply writes resources through an entry, referenced kinds first. It retries each write until it succeeds
+// or the context ends, because the entry may still be starting.
 func Apply(ctx context.Context, c *remote.Client, list []kinds.Resource) error {
 	for _, kind := range kinds.All() {
 		for _, r := range list {
@@ -81,7 +82,7 @@
 	return nil
 }
 
-const retryEvery = 100 * time.Millisecond
+const retryInterval = 100 * time.Millisecond
 
 func applyOne(ctx context.Context, c *remote.Client, r kinds.Resource) error {
 	for {
@@ -92,28 +93,30 @@
 		select {
 		case <-ctx.Done():
 			return err
-		case <-time.After(retryEvery):
+		case <-time.After(retryInterval):
 		}
 	}
 }
 
-// WaitReady waits until the models' slots are decided and their first
-// MinReplicas loaded, each service has an endpoint, and all nodes have all in force.
+// WaitReady waits until the slots of all models are decided and MinReplicas of
+// each are loaded, every service has an endpoint, and all resources are in force
+// on all nodes.
 func WaitReady(ctx context.Context, c *remote.Client, list []kinds.Resource) error {
 	for {
-		missing := notReady(ctx, c, list)
+		missing := firstNotReady(ctx, c, list)
 		if missing == "" {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
 			return fmt.Errorf("not ready in time: %s", missing)
-		case <-time.After(retryEvery):
+		case <-time.After(retryInterval):
 		}
 	}
 }
 
-func notReady(ctx context.Context, c *remote.Client, list []kinds.Resource) string {
+// firstNotReady describes the first resource that is not ready, or returns an empty string.
+func firstNotReady(ctx context.Context, c *remote.Client, list []kinds.Resource) string {
 	for _, r := range list {
 		item, err := c.Get(ctx, r.Kind, r.Name)
 		if err != nil {
@@ -134,8 +137,8 @@
 	return ""
 }
 
-// Run sends every request and prints a line for each. runs tells how often a
-// body ran at a service.
+// Run sends all requests in turn and prints a summary line for each. runs returns
+// how often a service executed a request with the given body.
 func Run(ctx context.Context, out io.Writer, c *remote.Client, entries []string, requests []Request, runs func(service, body string) int) error {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 	defer client.CloseIdleConnections()
@@ -143,27 +146,28 @@
 	for _, r := range requests {
 		res := Send(client, entries, r)
 		if n := runs(r.Service, r.Prompt); r.RunsOnce && n != 1 {
-			res.Faults = append(res.Faults, fmt.Sprintf("ran %d times", n))
+			res.Failures = append(res.Failures, fmt.Sprintf("ran %d times", n))
 		}
-		replicas, bad := replicasOf(ctx, c, r.Model)
+		replicas, bad := replicaSummary(ctx, c, r.Model)
 		if bad {
-			res.Faults = append(res.Faults, "more replicas loaded than decided")
+			res.Failures = append(res.Failures, "more replicas loaded than decided")
 		}
-		if len(res.Faults) > 0 {
+		if len(res.Failures) > 0 {
 			failed++
 		}
-		if _, err := fmt.Fprintln(out, res.Line(replicas)); err != nil {
+		if _, err := fmt.Fprintln(out, res.Summary(replicas)); err != nil {
 			return err
 		}
 	}
 	if failed > 0 {
-		return &Failed{failed}
+		return &FailedError{failed}
 	}
 	return nil
 }
 
-// replicasOf words how many replicas of a request's model are loaded and decided.
-func replicasOf(ctx context.Context, c *remote.Client, name string) (text string, bad bool) {
+// replicaSummary formats the numbers of loaded and decided replicas of a model or of an adapter's model.
+// failed is true if more are loaded than decided, or if the status cannot be read.
+func replicaSummary(ctx context.Context, c *remote.Client, name string) (text string, failed bool) {
 	if name == "" {
 		return "", false
 	}
--- a/internal/node/entry/entry.go
+++ b/internal/node/entry/entry.go
@@ -30,26 +30,26 @@
 	Dispatcher *calls.Dispatcher
 	Placer     *placer.Placer
 	Limit      *admit.Limit
-	set        conf.Entry
+	settings   conf.Entry
 	log        *zap.Logger
 }
 
-// New returns an entry that does not serve yet, and the function that closes it.
-func New(set conf.Entry, o member.Options) (*Entry, func()) {
+// New returns an entry, to be started with Start, and the function that closes it.
+func New(settings conf.Entry, o member.Options) (*Entry, func()) {
 	m, closeMember := member.New(o)
 	table := route.NewTable(o.Self.Domain, xxhash.Sum64String(o.Self.Name))
 	dispatcher, closeDispatcher := calls.New(m.Holder, m.Pool, m.Mux, table, o.Meters, o.Log.Named("Calls"))
-	desk.New(permit.Limits{Models: set.WeightStore.LoadsAtOnce, Adapters: set.WeightStore.AdaptersInFlight, Rate: set.WeightStore.LoadsPerSecond}, m.Mux)
+	desk.New(permit.Limits{Models: settings.WeightStore.LoadsAtOnce, Adapters: settings.WeightStore.AdaptersInFlight, Rate: settings.WeightStore.LoadsPerSecond}, m.Mux)
 	e := &Entry{
-		Member: m, Web: httpd.New(o.Meters, set.Requests.MaxHeaderBytes), Dispatcher: dispatcher,
-		Limit: admit.New(set.Requests.MaxInFlight), set: set, log: o.Log,
+		Member: m, Web: httpd.New(o.Meters, settings.Requests.MaxHeaderBytes), Dispatcher: dispatcher,
+		Limit: admit.New(settings.Requests.MaxInFlight), settings: settings, log: o.Log,
 		Placer: &placer.Placer{
 			Self: o.Self.Name, Holder: m.Holder, Store: o.Store, Ledger: m.Ledger, List: o.List,
-			Pool: m.Pool, Log: o.Log.Named("Planner"), GoneAfter: set.GoneAfter.Std(),
+			Pool: m.Pool, Log: o.Log.Named("Planner"), GoneAfter: settings.GoneAfter.Std(),
 		},
 	}
 	caller.New(caller.Settings{
-		DefaultTimeout: set.Requests.DefaultTimeout.Std(), MaxTimeout: set.Requests.MaxTimeout.Std(), MaxBodyBytes: set.Requests.MaxBodyBytes,
+		DefaultTimeout: settings.Requests.DefaultTimeout.Std(), MaxTimeout: settings.Requests.MaxTimeout.Std(), MaxBodyBytes: settings.Requests.MaxBodyBytes,
 	}, m.Holder, dispatcher, e.Limit, o.Meters, o.Log.Named("Caller")).Register(e.Web.Router)
 	reporter := admin.NewReporter(m.Holder, m.Pool, m.Relay)
 	admin.NewServer(m.Holder, admin.NewWriter(o.Store, m.Ledger, m.Holder), reporter, m.Ledger).Register(e.Web.Router)
@@ -59,7 +59,8 @@
 	}
 }
 
-// Start serves peers, follows the configuration, and serves callers on the listener if there is one.
+// Start adds the entry's tasks to the tree: it serves peers, follows the configuration, runs the planner and,
+// if callers is not nil, serves callers on that listener.
 func (e *Entry) Start(t *tree.Tree, callers net.Listener) {
 	e.Member.Start(t)
 	t.OnClose(e.Web.Close)
@@ -73,30 +74,31 @@
 	t.Keep("Planner", e.Placer.Run)
 }
 
-// join gets a first configuration, turns ready, and registers the node.
+// join loads the first configuration, turns readiness on and registers the node.
 func (e *Entry) join(ctx context.Context) {
 	for ctx.Err() == nil {
 		_, err := e.Member.Follower.Bootstrap(ctx)
 		if err == nil {
 			break
 		}
-		e.log.Warn("no configuration yet", zap.Error(err))
-		pause.For(ctx, bootstrapPause)
+		e.log.Warn("loading the first configuration failed; retrying", zap.Error(err))
+		pause.For(ctx, bootstrapRetryDelay)
 	}
 	e.Web.SetReady(true)
 	if _, err := e.Member.Join(ctx); err != nil {
-		e.log.Warn("node is not registered", zap.Error(err))
+		e.log.Warn("node registration failed; giving up", zap.Error(err))
 	}
 }
 
-const bootstrapPause = time.Second
+const bootstrapRetryDelay = time.Second
 
-// Drain turns readiness off, gives the balancer time to notice, and waits for
-// the requests in flight up to the limit, past which each is refused honestly.
+// Drain turns readiness off, gives the load balancer time to notice, and waits
+// for the requests in flight up to the drain limit. The requests still in flight
+// then are refused; each refusal tells whether the request may have run.
 func (e *Entry) Drain(ctx context.Context) {
 	e.Web.SetReady(false)
-	pause.For(ctx, e.set.Drain.Notice.Std())
-	ctx, cancel := context.WithTimeout(ctx, e.set.Drain.Limit.Std())
+	pause.For(ctx, e.settings.Drain.Notice.Std())
+	ctx, cancel := context.WithTimeout(ctx, e.settings.Drain.Limit.Std())
 	defer cancel()
 	if err := e.Web.Shutdown(ctx, &calls.CutOff{}); err != nil {
 		e.log.Warn("requests were cut off", zap.Error(err))
--- a/internal/node/httpd/server.go
+++ b/internal/node/httpd/server.go
@@ -15,22 +15,22 @@
 const (
 	headerTimeout = 10 * time.Second
 	idleTimeout   = 2 * time.Minute
-	// cutOffGrace is how long requests that were cut off have to write their refusal.
-	cutOffGrace = 3 * time.Second
+	// refusalGrace is how long canceled requests have to write their refusals.
+	refusalGrace = 3 * time.Second
 )
 
-// Server is a process's HTTP server.
+// Server is the HTTP server of a process, with metrics and health checks.
 type Server struct {
-	Router *httprouter.Router
-	ready  atomic.Bool
-	http   *http.Server
-	cut    context.CancelCauseFunc
+	Router         *httprouter.Router
+	ready          atomic.Bool
+	http           *http.Server
+	cancelRequests context.CancelCauseFunc
 }
 
-// New returns a server with /metrics, /healthz and /readyz.
+// New returns a server with the routes /metrics, /healthz and /readyz. It is not ready until SetReady(true).
 func New(meters *metrics.Set, maxHeaderBytes int) *Server {
-	base, cut := context.WithCancelCause(context.Background())
-	s := &Server{Router: httprouter.New(), cut: cut}
+	baseCtx, cancelRequests := context.WithCancelCause(context.Background())
+	s := &Server{Router: httprouter.New(), cancelRequests: cancelRequests}
 	s.Router.GET("/metrics", func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 		meters.WritePrometheus(w)
 		metrics.WriteProcessMetrics(w)
@@ -45,7 +45,7 @@
 	})
 	s.http = &http.Server{
 		Handler: s.Router, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
-		BaseContext: func(net.Listener) context.Context { return base },
+		BaseContext: func(net.Listener) context.Context { return baseCtx },
 	}
 	return s
 }
@@ -55,7 +55,7 @@
 	s.ready.Store(ready)
 }
 
-// Serve serves the listener until Shutdown.
+// Serve serves the listener until Close or Shutdown is called, and then returns nil.
 func (s *Server) Serve(lis net.Listener) error {
 	if err := s.http.Serve(lis); !errors.Is(err, http.ErrServerClosed) {
 		return err
@@ -63,23 +63,24 @@
 	return nil
 }
 
-// Close ends the server at once; requests still in flight are canceled.
+// Close stops the server immediately and cancels the requests in flight.
 func (s *Server) Close() {
-	s.cut(context.Canceled)
-	// A second close of a server has nothing to report.
+	s.cancelRequests(context.Canceled)
+	// Close may be called twice, and its error needs no action.
 	_ = s.http.Close()
 }
 
-// Shutdown waits for the requests in flight; when the context ends first, it
-// cuts them off with the cause, so that each still gets its refusal.
+// Shutdown waits for the requests in flight. If the context ends first, it
+// cancels them with the cause, waits up to refusalGrace for their refusals, and
+// returns an error.
 func (s *Server) Shutdown(ctx context.Context, cause error) error {
 	s.SetReady(false)
 	err := s.http.Shutdown(ctx)
-	s.cut(cause)
+	s.cancelRequests(cause)
 	if err == nil {
 		return nil
 	}
-	grace, cancel := context.WithTimeout(context.WithoutCancel(ctx), cutOffGrace)
+	grace, cancel := context.WithTimeout(context.WithoutCancel(ctx), refusalGrace)
 	defer cancel()
 	return errors.Join(err, s.http.Shutdown(grace), s.http.Close())
 }
--- a/internal/node/local/bench_test.go
+++ b/internal/node/local/bench_test.go
@@ -27,7 +27,7 @@
 
 const benchModel = "bench"
 
-// benchDeployment starts one entry before one instant engine that holds the model.
+// benchDeployment starts one entry and one engine with the model loaded and no delay except tokenTime per token.
 func benchDeployment(b *testing.B, tokenTime time.Duration) (*Deployment, *http.Client) {
 	b.Helper()
 	set := Default()
@@ -63,8 +63,8 @@
 	return fmt.Sprintf(`{"model":%q,"stream":%t,"max_tokens":%d,"messages":[{"role":"user","content":"x"}]}`, benchModel, stream, tokens)
 }
 
-// askStream sends one streamed request and returns the time of its first token and of its end.
-func askStream(client *http.Client, url, body string) (first, whole time.Duration, err error) {
+// timeStream sends one streaming request and returns its time to first token and its total time.
+func timeStream(client *http.Client, url, body string) (first, whole time.Duration, err error) {
 	began := time.Now()
 	resp, err := client.Post(url+"/v1/chat/completions", "application/json", strings.NewReader(body))
 	if err != nil {
@@ -85,8 +85,8 @@
 	return first, time.Since(began), nil
 }
 
-// processorTime returns the processor time that this process has used.
-func processorTime() time.Duration {
+// cpuTime returns the CPU time used by this process, or 0 if it cannot be read.
+func cpuTime() time.Duration {
 	var use syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &use) != nil {
 		return 0
@@ -94,7 +94,7 @@
 	return time.Duration(use.Utime.Nano() + use.Stime.Nano())
 }
 
-// BenchmarkPath compares first token and whole answer through entry and agent with the engine direct.
+// BenchmarkPath compares an answer through entry and agent with the same answer directly from the engine, and measures the time to first token.
 func BenchmarkPath(b *testing.B) {
 	d, client := benchDeployment(b, 0)
 	direct := engine.NewClient(d.engineURLs[0], &http.Transport{})
@@ -102,7 +102,7 @@
 	b.Run("whole answer of 16 tokens", func(b *testing.B) {
 		var through, alone, first time.Duration
 		for b.Loop() {
-			f, whole, err := askStream(client, d.Entries[0], string(body))
+			f, whole, err := timeStream(client, d.Entries[0], string(body))
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -119,13 +119,13 @@
 	})
 }
 
-// BenchmarkRequests sends short answers from many callers at once; all parts share the process.
+// BenchmarkRequests measures one-token answers to many concurrent callers. All components run in this process.
 func BenchmarkRequests(b *testing.B) {
 	d, client := benchDeployment(b, 0)
 	body := benchBody(1, false)
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
-	used, began := processorTime(), time.Now()
+	used, began := cpuTime(), time.Now()
 	b.SetParallelism(16)
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
@@ -144,11 +144,11 @@
 	})
 	runtime.ReadMemStats(&after)
 	b.ReportMetric(float64(b.N)/time.Since(began).Seconds(), "requests/s")
-	b.ReportMetric(float64((processorTime()-used).Microseconds())/float64(b.N), "cpu-us/request")
+	b.ReportMetric(float64((cpuTime()-used).Microseconds())/float64(b.N), "cpu-us/request")
 	b.ReportMetric(float64(after.Mallocs-before.Mallocs)/float64(b.N), "allocs/request")
 }
 
-// BenchmarkTokens streams from one engine to callers; the cost covers caller, entry, agent and engine stand-in.
+// BenchmarkTokens measures concurrent streams from one engine. The cost per token includes caller, entry, agent and stand-in engine.
 func BenchmarkTokens(b *testing.B) {
 	for _, streams := range []int{8, 64, 256, 512} {
 		b.Run(fmt.Sprintf("streams=%d", streams), func(b *testing.B) {
@@ -157,13 +157,13 @@
 			body := benchBody(tokens, true)
 			var before, after runtime.MemStats
 			runtime.ReadMemStats(&before)
-			used, began := processorTime(), time.Now()
+			used, began := cpuTime(), time.Now()
 			var worst atomic.Int64
 			for b.Loop() {
 				var g conc.WaitGroup
 				for range streams {
 					g.Go(func() {
-						_, whole, err := askStream(client, d.Entries[0], body)
+						_, whole, err := timeStream(client, d.Entries[0], body)
 						if err != nil {
 							b.Error(err)
 						}
@@ -175,7 +175,7 @@
 			runtime.ReadMemStats(&after)
 			n := float64(b.N * streams * tokens)
 			b.ReportMetric(n/time.Since(began).Seconds(), "tokens/s")
-			b.ReportMetric(float64((processorTime()-used).Microseconds())/n, "cpu-us/token")
+			b.ReportMetric(float64((cpuTime()-used).Microseconds())/n, "cpu-us/token")
 			b.ReportMetric(float64(after.Mallocs-before.Mallocs)/n, "allocs/token")
 			b.ReportMetric(float64(worst.Load())/1e6/tokens, "worst-ms/token")
 		})
--- a/internal/node/local/doc.go
+++ b/internal/node/local/doc.go
@@ -1,2 +1,2 @@
-// Package local runs a whole deployment in one process on loopback: stand-ins, agents and entries.
+// Package local runs a complete deployment of stand-ins, agents and entries in one process on loopback.
 package local
--- a/internal/node/local/local.go
+++ b/internal/node/local/local.go
@@ -32,7 +32,7 @@
 	region   = "local"
 )
 
-// Settings describe the deployment.
+// Settings are the settings of a deployment.
 type Settings struct {
 	Entries int
 	Engines int
@@ -43,7 +43,7 @@
 	Seed             uint64
 }
 
-// Default returns the deployment of the dev command.
+// Default returns the settings of the dev command.
 func Default() Settings {
 	return Settings{
 		Entries: 3, Engines: 6, Services: []string{"order-desk", "bookings"}, ServiceEndpoints: 2, Seed: 1,
@@ -62,52 +62,52 @@
 	// Entries and PlatformURL are base URLs.
 	Entries     []string
 	PlatformURL string
-	// Members are the entries' and agents' places among each other.
+	// Members holds the member of every entry and agent.
 	Members []*member.Member
 
-	set        Settings
+	settings   Settings
 	tree       *tree.Tree
 	log        *zap.Logger
-	list       []fleet.Instance
+	instances  []fleet.Instance
 	engineURLs []string
 }
 
 // domains are the failure domains of the deployment.
 var domains = []string{"local-a", "local-b", "local-c"}
 
-// Start runs a deployment until the returned function is called.
-func Start(ctx context.Context, set Settings, log *zap.Logger) (*Deployment, func(), error) {
+// Start starts a deployment, which runs until the returned function is called.
+func Start(ctx context.Context, settings Settings, log *zap.Logger) (*Deployment, func(), error) {
 	t, closeTree := tree.New(ctx, log)
-	d := &Deployment{Platform: platf.NewPlatform(set.Seed, 0, nil), Books: map[string]*shop.Book{}, set: set, tree: t, log: log}
-	if err := d.start(); err != nil {
+	d := &Deployment{Platform: platf.NewPlatform(settings.Seed, 0, nil), Books: map[string]*shop.Book{}, settings: settings, tree: t, log: log}
+	if err := d.startAll(); err != nil {
 		closeTree()
 		return nil, nil, err
 	}
 	return d, closeTree, nil
 }
 
-// Failed delivers the first part whose end ends the deployment.
+// Failed returns a channel that delivers the first failure of a critical part, after which the deployment ends.
 func (d *Deployment) Failed() <-chan *tree.Failed {
 	return d.tree.Failed()
 }
 
-func (d *Deployment) start() error {
+func (d *Deployment) startAll() error {
 	var err error
-	if d.PlatformURL, err = d.serve("StandinPlatform", d.Platform.Handler()); err != nil {
+	if d.PlatformURL, err = d.serveHTTP("StandinPlatform", d.Platform.Handler()); err != nil {
 		return err
 	}
-	d.set.Engine.Weights = motor.NewWeights(2)
+	d.settings.Engine.Weights = motor.NewWeights(2)
 	var starts []func() error
-	for i := range d.set.Engines {
+	for i := range d.settings.Engines {
 		starts = append(starts, func() error { return d.startEngine(i) })
 	}
-	for _, name := range d.set.Services {
+	for _, name := range d.settings.Services {
 		d.Books[name] = shop.NewBook()
-		for i := range d.set.ServiceEndpoints {
+		for i := range d.settings.ServiceEndpoints {
 			starts = append(starts, func() error { return d.startService(name, i) })
 		}
 	}
-	for i := range d.set.Entries {
+	for i := range d.settings.Entries {
 		starts = append(starts, func() error { return d.startEntry(i) })
 	}
 	for _, start := range starts {
@@ -115,17 +115,17 @@
 			return err
 		}
 	}
-	d.Platform.SetInstances(d.list)
+	d.Platform.SetInstances(d.instances)
 	return nil
 }
 
-// listen opens a loopback port of the system's choosing.
+// listen opens a loopback port chosen by the operating system.
 func listen() (net.Listener, error) {
 	return net.Listen("tcp", "127.0.0.1:0")
 }
 
-// serve runs a handler on a new port and returns its base URL.
-func (d *Deployment) serve(name string, h http.Handler) (string, error) {
+// serveHTTP serves a handler on a new port and returns its base URL. name is the part's name in the tree.
+func (d *Deployment) serveHTTP(name string, h http.Handler) (string, error) {
 	lis, err := listen()
 	if err != nil {
 		return "", err
@@ -133,62 +133,62 @@
 	server := &http.Server{Handler: h, ReadHeaderTimeout: time.Minute}
 	d.tree.Critical(name, func(context.Context) error { return server.Serve(lis) })
 	d.tree.OnClose(func() {
-		// The process ends with its servers.
+		// Errors from closing are irrelevant, because the deployment ends.
 		_ = server.Close()
 	})
 	return "http://" + lis.Addr().String(), nil
 }
 
-// options builds what a member brings along and lists it.
-func (d *Deployment) options(node plan.Node) (member.Options, error) {
+// memberOptions returns the options of a node's member and adds the node to the instance list.
+func (d *Deployment) memberOptions(node plan.Node) (member.Options, error) {
 	lis, err := listen()
 	if err != nil {
 		return member.Options{}, err
 	}
 	node.Address, node.Region = lis.Addr().String(), region
-	d.list = append(d.list, fleet.Instance{Name: node.Name, Role: string(node.Role), Address: node.Address, Region: region, Domain: node.Domain})
+	d.instances = append(d.instances, fleet.Instance{Name: node.Name, Role: string(node.Role), Address: node.Address, Region: region, Domain: node.Domain})
 	meters := metrics.NewSet()
 	return member.Options{
 		Self: node, Listener: lis, Dial: peer.TCP, Meters: meters, Log: d.log.With(zap.String("Node", node.Name)),
-		Store: store.NewClient(d.PlatformURL, &http.Transport{}, storeCalls, meters), List: fleet.NewClient(d.PlatformURL, &http.Transport{}),
+		Store: store.NewClient(d.PlatformURL, &http.Transport{}, storeCallsPerSecond, meters), List: fleet.NewClient(d.PlatformURL, &http.Transport{}),
 	}, nil
 }
 
-// storeCalls is each node's budget of store calls per second.
-const storeCalls = 100
+// storeCallsPerSecond limits the store calls of each node.
+const storeCallsPerSecond = 100
 
 func (d *Deployment) startEngine(i int) error {
-	m := motor.New(d.set.Engine)
+	m := motor.New(d.settings.Engine)
 	d.Motors = append(d.Motors, m)
-	url, err := d.serve("StandinEngine", m.Handler())
+	url, err := d.serveHTTP("StandinEngine", m.Handler())
 	if err != nil {
 		return err
 	}
 	d.engineURLs = append(d.engineURLs, url)
-	o, err := d.options(plan.Node{
-		Name: fmt.Sprintf("engine-%d", i+1), Role: plan.Agent, Domain: domains[i%len(domains)], Back: plan.EngineBack, MemoryBytes: d.set.Engine.MemoryBytes,
+	o, err := d.memberOptions(plan.Node{
+		Name: fmt.Sprintf("engine-%d", i+1), Role: plan.Agent, Domain: domains[i%len(domains)], Back: plan.EngineBack, MemoryBytes: d.settings.Engine.MemoryBytes,
 	})
 	if err != nil {
 		return err
 	}
-	set := conf.DefaultAgent()
-	set.Engine = &conf.Engine{
-		URL: url, MemoryBytes: d.set.Engine.MemoryBytes, ChecksFence: d.set.Engine.CheckFence,
-		ReportLag: kinds.Duration(d.set.Engine.ReportLag), OrderTimeout: kinds.Duration(time.Minute),
+	settings := conf.DefaultAgent()
+	settings.Engine = &conf.Engine{
+		URL: url, MemoryBytes: d.settings.Engine.MemoryBytes, ChecksFence: d.settings.Engine.CheckFence,
+		ReportLag: kinds.Duration(d.settings.Engine.ReportLag), OrderTimeout: kinds.Duration(time.Minute),
 	}
-	d.runAgent(set, o, agent.Backs{Engine: engine.NewClient(url, &http.Transport{MaxIdleConnsPerHost: engineConns})})
+	d.runAgent(settings, o, agent.Backs{Engine: engine.NewClient(url, &http.Transport{MaxIdleConnsPerHost: maxIdleEngineConns})})
 	return nil
 }
 
-// engineConns is how many idle connections an agent keeps to its engine.
-const engineConns = 64
+// maxIdleEngineConns is the maximum number of idle connections from an agent to its engine.
+const maxIdleEngineConns = 64
 
 func (d *Deployment) startService(name string, i int) error {
-	url, err := d.serve("StandinService", shop.New(name, d.Books[name]).Handler())
+	url, err := d.serveHTTP("StandinService", shop.New(name, d.Books[name]).Handler())
 	if err != nil {
 		return err
 	}
-	o, err := d.options(plan.Node{
+	o, err := d.memberOptions(plan.Node{
 		Name: fmt.Sprintf("%s-%d", name, i+1), Role: plan.Agent, Domain: domains[i%len(domains)], Back: plan.ServiceBack, Service: name,
 	})
 	if err != nil {
@@ -198,21 +198,21 @@
 	if err != nil {
 		return err
 	}
-	set := conf.DefaultAgent()
-	set.Service = &conf.Service{Name: name, URL: url}
-	d.runAgent(set, o, agent.Backs{Plain: client})
+	settings := conf.DefaultAgent()
+	settings.Service = &conf.Service{Name: name, URL: url}
+	d.runAgent(settings, o, agent.Backs{Plain: client})
 	return nil
 }
 
-func (d *Deployment) runAgent(set conf.Agent, o member.Options, backs agent.Backs) {
-	a, closeAgent := agent.New(set, o, backs)
+func (d *Deployment) runAgent(settings conf.Agent, o member.Options, backs agent.Backs) {
+	a, closeAgent := agent.New(settings, o, backs)
 	d.tree.OnClose(closeAgent)
 	d.Members = append(d.Members, a.Member)
 	a.Start(d.tree, nil)
 }
 
 func (d *Deployment) startEntry(i int) error {
-	o, err := d.options(plan.Node{Name: fmt.Sprintf("entry-%d", i+1), Role: plan.Entry, Domain: domains[i%len(domains)]})
+	o, err := d.memberOptions(plan.Node{Name: fmt.Sprintf("entry-%d", i+1), Role: plan.Entry, Domain: domains[i%len(domains)]})
 	if err != nil {
 		return err
 	}
--- a/internal/node/member/doc.go
+++ b/internal/node/member/doc.go
@@ -1,2 +1,3 @@
-// Package member is what entries and agents have in common: connections, configuration, and the node's own record.
+// Package member provides what entries and agents share: peer connections, configuration and the
+// registration of the node.
 package member
--- a/internal/node/member/member.go
+++ b/internal/node/member/member.go
@@ -24,7 +24,7 @@
 	"foxtailcroft/internal/plat/store"
 )
 
-// Options are what a process brings along.
+// Options are a member's identity and dependencies.
 type Options struct {
 	Self     plan.Node
 	Listener net.Listener
@@ -35,10 +35,11 @@
 	Log      *zap.Logger
 }
 
-// Member is one process's place among the others.
+// Member connects a process with the other processes of the deployment.
 type Member struct {
 	Options
-	// Incarnation tells this process from the others that had its name.
+	// Incarnation distinguishes this process from earlier processes with the same node name. It is the start
+	// time in nanoseconds since the Unix epoch.
 	Incarnation int64
 	Holder      *view.Holder
 	Mux         *peer.Mux
@@ -49,7 +50,7 @@
 	Ledger      *ledger.Ledger
 }
 
-// New returns a member that does not serve yet, and the function that closes its connections.
+// New returns a member, to be started with Start, and the function that closes its connections.
 func New(o Options) (*Member, func()) {
 	m := &Member{Options: o, Incarnation: time.Now().UnixNano(), Holder: view.NewHolder(), Mux: peer.NewMux()}
 	hello := func() peer.Hello { return peer.Hello{Node: o.Self.Name, Epoch: m.Incarnation} }
@@ -67,7 +68,7 @@
 	}
 }
 
-// Start serves the other processes and follows the configuration.
+// Start adds tasks to the tree that serve the other processes and follow the configuration.
 func (m *Member) Start(t *tree.Tree) {
 	t.Critical("PeerServer", m.Server.Serve)
 	for parent := range spread.Parents {
@@ -75,24 +76,25 @@
 	}
 }
 
-// joinPause bounds the pause between tries to register.
-const joinPause = 2 * time.Second
+// maxRegisterDelay bounds the backoff between attempts to register the node.
+const maxRegisterDelay = 2 * time.Second
 
-// Join writes the node's record under the next epoch and returns that epoch.
-// It goes on trying while the store is away.
+// Join registers the node under the next epoch and returns that epoch. It
+// retries with backoff until it succeeds or the context ends.
 func (m *Member) Join(ctx context.Context) (int64, error) {
 	pause := backoff.NewExponentialBackOff()
-	pause.MaxInterval = joinPause
+	pause.MaxInterval = maxRegisterDelay
 	return backoff.Retry(ctx, func() (int64, error) {
-		epoch, err := m.joinOnce(ctx)
+		epoch, err := m.registerOnce(ctx)
 		if err != nil {
-			m.Log.Warn("node is not registered yet", zap.Error(err))
+			m.Log.Warn("node registration failed; retrying", zap.Error(err))
 		}
 		return epoch, err
 	}, backoff.WithBackOff(pause), backoff.WithMaxElapsedTime(0))
 }
 
-func (m *Member) joinOnce(ctx context.Context) (int64, error) {
+// registerOnce writes the node's record with the epoch incremented. It fails on a concurrent write.
+func (m *Member) registerOnce(ctx context.Context) (int64, error) {
 	key := plan.NodeKey(m.Self.Name)
 	kv, _, err := m.Store.Get(ctx, store.StatePrefix+key)
 	if err != nil {
@@ -101,7 +103,7 @@
 	var old plan.Node
 	if len(kv.Value) > 0 {
 		if err := json.Unmarshal(kv.Value, &old); err != nil {
-			m.Log.Error("node record cannot be read", zap.Error(err))
+			m.Log.Error("decoding the stored node record failed; overwriting it", zap.Error(err))
 		}
 	}
 	next := m.Self
@@ -110,7 +112,7 @@
 	if err != nil {
 		return 0, backoff.Permanent(err)
 	}
-	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
+	ctx, cancel := context.WithTimeout(ctx, registerWriteTimeout)
 	defer cancel()
 	_, err = m.Ledger.Write(ctx, ledger.Change{Key: key, Before: kv.Value, After: value, From: kv.Revision, Actor: m.Self.Name, Action: "EpochTaken"})
 	var conflict *fault.Conflict
@@ -120,18 +122,18 @@
 	return next.Epoch, err
 }
 
-const writeTimeout = 5 * time.Second
+const registerWriteTimeout = 5 * time.Second
 
-// Announce tells every connected process that this node takes no new work.
+// Announce notifies all connected processes that this node accepts no new work.
 func (m *Member) Announce(epoch int64) {
 	leaving := wire.Leaving{Node: m.Self.Name, Epoch: epoch}
 	for _, c := range append(m.Server.Conns(), m.Pool.Conns()...) {
-		// One that cannot be told is refused when it asks.
+		// A process that misses the notification is refused when it sends work.
 		_ = c.Notify(wire.MethodLeaving, leaving)
 	}
 }
 
-// BytesSent sums what was written to the live connections.
+// BytesSent returns the number of bytes written to the current connections.
 func (m *Member) BytesSent() int64 {
 	var sum int64
 	for _, c := range append(m.Server.Conns(), m.Pool.Conns()...) {
