--- a/internal/link/peer/conn.go
+++ b/internal/link/peer/conn.go
@@ -93,7 +93,7 @@
 
 var discardLogger = log.New(io.Discard, "", 0)
 
-// newConn wraps a transport in a Conn and starts its reader and heartbeat.
+// newConn returns a Conn on an open transport and starts its reader and heartbeat.
 func newConn(ctx context.Context, raw net.Conn, address string, mux *Mux) *Conn {
 	transport := &monitoredConn{Conn: raw}
 	transport.lastRead.Store(time.Now().UnixNano())
--- a/internal/link/spread/feed.go
+++ b/internal/link/spread/feed.go
@@ -17,14 +17,14 @@
 	if err != nil {
 		return false, err
 	}
-	d := view.Delta{Revision: list.Revision, Full: true}
+	delta := view.Delta{Revision: list.Revision, Full: true}
 	for _, kv := range list.KVs {
-		d.Entries = append(d.Entries, Entry(strings.TrimPrefix(kv.Key, store.StatePrefix), kv.Value, kv.Revision, false))
+		delta.Entries = append(delta.Entries, Entry(strings.TrimPrefix(kv.Key, store.StatePrefix), kv.Value, kv.Revision, false))
 	}
 	if list.Revision < holder.View().Revision() {
 		return false, nil
 	}
-	holder.Apply(d)
+	holder.Apply(delta)
 	return true, nil
 }
 
--- a/internal/link/spread/follow.go
+++ b/internal/link/spread/follow.go
@@ -201,9 +201,9 @@
 		return cmp.Compare(f.distance(a), f.distance(b))
 	})
 	var lastErr error
-	reached := 0
+	pulled := 0
 	for _, i := range instances {
-		if i.Name == f.Self.Name || i.Address == "" || reached == maxBootstrapPeers {
+		if i.Name == f.Self.Name || i.Address == "" || pulled == maxBootstrapPeers {
 			continue
 		}
 		conn, err := f.Pool.Get(ctx, i.Address)
@@ -214,9 +214,9 @@
 			lastErr = err
 			continue
 		}
-		reached++
+		pulled++
 	}
-	if reached > 0 {
+	if pulled > 0 {
 		return nil
 	}
 	return lastErr
--- a/internal/node/agent/agent.go
+++ b/internal/node/agent/agent.go
@@ -56,7 +56,7 @@
 )
 
 // New returns an agent, to be started with Start, and the function that closes it.
-func New(settings conf.Agent, o member.Options, backs Backs) (*Agent, func()) {
+func New(settings conf.Agent, o member.Options, backEnds Backs) (*Agent, func()) {
 	m, closeMember := member.New(o)
 	a := &Agent{
 		Member: m, Web: httpd.New(o.Meters, 0), Registry: tries.NewRegistry(), settings: settings, log: o.Log,
@@ -67,10 +67,10 @@
 	}
 	closeSlots := func() {}
 	if settings.Engine != nil {
-		closeSlots = a.setUpEngine(backs.Engine)
+		closeSlots = a.setUpEngine(backEnds.Engine)
 	} else {
 		a.gate = gate.New(settings.Service.Name)
-		a.Worker.Gate, a.Worker.Plain = a.gate, backs.Plain
+		a.Worker.Gate, a.Worker.Plain = a.gate, backEnds.Plain
 	}
 	a.Worker.Register(m.Mux)
 	peer.OnCall(m.Mux, wire.MethodReport, a.report)
--- a/internal/node/check/suite.go
+++ b/internal/node/check/suite.go
@@ -68,9 +68,9 @@
 
 // Apply writes resources through an entry, referenced kinds first. It retries each write until it succeeds
 // or the context ends, because the entry may still be starting.
-func Apply(ctx context.Context, c *remote.Client, list []kinds.Resource) error {
+func Apply(ctx context.Context, c *remote.Client, resources []kinds.Resource) error {
 	for _, kind := range kinds.All() {
-		for _, r := range list {
+		for _, r := range resources {
 			if r.Kind != kind {
 				continue
 			}
@@ -101,9 +101,9 @@
 // WaitReady waits until the slots of all models are decided and MinReplicas of
 // each are loaded, every service has an endpoint, and all resources are in force
 // on all nodes.
-func WaitReady(ctx context.Context, c *remote.Client, list []kinds.Resource) error {
+func WaitReady(ctx context.Context, c *remote.Client, resources []kinds.Resource) error {
 	for {
-		missing := firstNotReady(ctx, c, list)
+		missing := firstNotReady(ctx, c, resources)
 		if missing == "" {
 			return nil
 		}
@@ -116,8 +116,8 @@
 }
 
 // firstNotReady describes the first resource that is not ready, or returns an empty string.
-func firstNotReady(ctx context.Context, c *remote.Client, list []kinds.Resource) string {
-	for _, r := range list {
+func firstNotReady(ctx context.Context, c *remote.Client, resources []kinds.Resource) string {
+	for _, r := range resources {
 		item, err := c.Get(ctx, r.Kind, r.Name)
 		if err != nil {
 			return fmt.Sprintf("%s: %v", r.Key(), err)
@@ -137,15 +137,15 @@
 	return ""
 }
 
-// Run sends all requests in turn and prints a summary line for each. runs returns
+// Run sends all requests in turn and prints a summary line for each. runCount returns
 // how often a service executed a request with the given body.
-func Run(ctx context.Context, out io.Writer, c *remote.Client, entries []string, requests []Request, runs func(service, body string) int) error {
+func Run(ctx context.Context, out io.Writer, c *remote.Client, entries []string, requests []Request, runCount func(service, body string) int) error {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 	defer client.CloseIdleConnections()
 	failed := 0
 	for _, r := range requests {
 		res := Send(client, entries, r)
-		if n := runs(r.Service, r.Prompt); r.RunsOnce && n != 1 {
+		if n := runCount(r.Service, r.Prompt); r.RunsOnce && n != 1 {
 			res.Failures = append(res.Failures, fmt.Sprintf("ran %d times", n))
 		}
 		replicas, bad := replicaSummary(ctx, c, r.Model)
@@ -178,6 +178,6 @@
 	if err != nil {
 		return " replicas=unknown", true
 	}
-	up := item.Status.Loaded + item.Status.Loading
-	return fmt.Sprintf(" replicas=%d/%d", up, item.Status.Decided), up > item.Status.Decided
+	loadedOrLoading := item.Status.Loaded + item.Status.Loading
+	return fmt.Sprintf(" replicas=%d/%d", loadedOrLoading, item.Status.Decided), loadedOrLoading > item.Status.Decided
 }
--- a/internal/node/httpd/server.go
+++ b/internal/node/httpd/server.go
@@ -80,7 +80,7 @@
 	if err == nil {
 		return nil
 	}
-	grace, cancel := context.WithTimeout(context.WithoutCancel(ctx), refusalGrace)
+	refusalCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), refusalGrace)
 	defer cancel()
-	return errors.Join(err, s.http.Shutdown(grace), s.http.Close())
+	return errors.Join(err, s.http.Shutdown(refusalCtx), s.http.Close())
 }
--- a/internal/node/local/local.go
+++ b/internal/node/local/local.go
@@ -204,8 +204,8 @@
 	return nil
 }
 
-func (d *Deployment) runAgent(settings conf.Agent, o member.Options, backs agent.Backs) {
-	a, closeAgent := agent.New(settings, o, backs)
+func (d *Deployment) runAgent(settings conf.Agent, o member.Options, backEnds agent.Backs) {
+	a, closeAgent := agent.New(settings, o, backEnds)
 	d.tree.OnClose(closeAgent)
 	d.Members = append(d.Members, a.Member)
 	a.Start(d.tree, nil)
--- a/internal/node/member/member.go
+++ b/internal/node/member/member.go
@@ -82,15 +82,15 @@
 // Join registers the node under the next epoch and returns that epoch. It
 // retries with backoff until it succeeds or the context ends.
 func (m *Member) Join(ctx context.Context) (int64, error) {
-	pause := backoff.NewExponentialBackOff()
-	pause.MaxInterval = maxRegisterDelay
+	retryBackoff := backoff.NewExponentialBackOff()
+	retryBackoff.MaxInterval = maxRegisterDelay
 	return backoff.Retry(ctx, func() (int64, error) {
 		epoch, err := m.registerOnce(ctx)
 		if err != nil {
 			m.Log.Warn("node registration failed; retrying", zap.Error(err))
 		}
 		return epoch, err
-	}, backoff.WithBackOff(pause), backoff.WithMaxElapsedTime(0))
+	}, backoff.WithBackOff(retryBackoff), backoff.WithMaxElapsedTime(0))
 }
 
 // registerOnce writes the node's record with the epoch incremented. It fails on a concurrent write.
@@ -100,15 +100,15 @@
 	if err != nil {
 		return 0, err
 	}
-	var old plan.Node
+	var previous plan.Node
 	if len(kv.Value) > 0 {
-		if err := json.Unmarshal(kv.Value, &old); err != nil {
+		if err := json.Unmarshal(kv.Value, &previous); err != nil {
 			m.Log.Error("decoding the stored node record failed; overwriting it", zap.Error(err))
 		}
 	}
-	next := m.Self
-	next.Epoch = old.Epoch + 1
-	value, err := json.Marshal(next)
+	updated := m.Self
+	updated.Epoch = previous.Epoch + 1
+	value, err := json.Marshal(updated)
 	if err != nil {
 		return 0, backoff.Permanent(err)
 	}
@@ -119,7 +119,7 @@
 	if errors.As(err, &conflict) {
 		return 0, err
 	}
-	return next.Epoch, err
+	return updated.Epoch, err
 }
 
 const registerWriteTimeout = 5 * time.Second
