--- a/cmd/foxtailcroft/agent.go
+++ b/cmd/foxtailcroft/agent.go
@@ -18,7 +18,7 @@
 	var file string
 	cmd := &cobra.Command{
 		Use:   "agent --config FILE",
-		Short: "Run the agent beside one endpoint",
+		Short: "Run the agent of one endpoint",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return runAgent(cmd, file)
@@ -28,33 +28,34 @@
 	return cmd
 }
 
+// runAgent runs an agent for a model engine or a plain service, whichever the settings name.
 func runAgent(cmd *cobra.Command, file string) error {
-	set, err := conf.ReadAgent(file)
+	settings, err := conf.ReadAgent(file)
 	if err != nil {
 		return err
 	}
-	node := plan.Node{Name: set.Node.Name, Role: plan.Agent, Region: set.Node.Region, Domain: set.Node.Domain, Back: plan.ServiceBack}
+	node := plan.Node{Name: settings.Node.Name, Role: plan.Agent, Region: settings.Node.Region, Domain: settings.Node.Domain, Back: plan.ServiceBack}
 	var backs agent.Backs
-	if set.Engine != nil {
-		node.Back, node.MemoryBytes = plan.EngineBack, set.Engine.MemoryBytes
-		backs.Engine = engine.NewClient(set.Engine.URL, transport())
+	if settings.Engine != nil {
+		node.Back, node.MemoryBytes = plan.EngineBack, settings.Engine.MemoryBytes
+		backs.Engine = engine.NewClient(settings.Engine.URL, transport())
 	} else {
-		node.Service = set.Service.Name
-		client, err := plain.NewClient(set.Service.URL, transport(), freshTransport())
+		node.Service = settings.Service.Name
+		client, err := plain.NewClient(settings.Service.URL, transport(), singleUseTransport())
 		if err != nil {
 			return eris.Wrap(err, "service client")
 		}
 		backs.Plain = client
 	}
-	o, err := memberOptions(node, set.Listen.Peers, set.Platform, set.Log.Level)
+	o, err := memberOptions(node, settings.Listen.Peers, settings.Platform, settings.Log.Level)
 	if err != nil {
 		return err
 	}
-	metrics, err := net.Listen("tcp", set.Listen.Metrics)
+	metrics, err := net.Listen("tcp", settings.Listen.Metrics)
 	if err != nil {
 		return eris.Wrap(err, "metrics listener")
 	}
-	a, closeAgent := agent.New(set, o, backs)
+	a, closeAgent := agent.New(settings, o, backs)
 	return supervise(cmd.Context(), o.Log, func(t *tree.Tree) error {
 		t.OnClose(closeAgent)
 		a.Start(t, metrics)
--- a/cmd/foxtailcroft/apply.go
+++ b/cmd/foxtailcroft/apply.go
@@ -14,48 +14,49 @@
 )
 
 func applyCommand() *cobra.Command {
-	var t target
+	var flags entryFlags
 	var files []string
 	var revision int64
 	var dryRun bool
 	cmd := &cobra.Command{
 		Use:   "apply -f FILE",
-		Short: "Create or change the resources of a file",
+		Short: "Create or update the resources in one or more files",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			w := remote.Write{DryRun: dryRun}
 			if cmd.Flags().Changed("revision") {
 				w.Revision = &revision
 			}
-			return runApply(cmd, t, files, w)
+			return runApply(cmd, flags, files, w)
 		},
 	}
-	t.add(cmd, "")
+	flags.register(cmd, "")
 	cmd.Flags().StringArrayVarP(&files, "file", "f", nil, "resource file, - for standard input; may be repeated")
-	cmd.Flags().Int64Var(&revision, "revision", 0, "revision that the resource must be at; 0 for a new one")
-	cmd.Flags().BoolVar(&dryRun, "dry-run", false, "check without changing anything")
+	cmd.Flags().Int64Var(&revision, "revision", 0, "apply only if the resource is at this revision; 0 requires that it does not exist yet")
+	cmd.Flags().BoolVar(&dryRun, "dry-run", false, "validate the resources without changing them")
 	if err := cmd.MarkFlagRequired("file"); err != nil {
 		panic(err)
 	}
 	return cmd
 }
 
-func runApply(cmd *cobra.Command, t target, files []string, w remote.Write) error {
+// runApply applies the resources kind by kind, in the order of kinds.All.
+func runApply(cmd *cobra.Command, flags entryFlags, files []string, w remote.Write) error {
 	list, err := readResources(cmd.InOrStdin(), files)
 	if err != nil {
 		return err
 	}
-	client := t.client()
+	client := flags.client()
 	for _, kind := range kinds.All() {
 		for _, r := range list {
 			if r.Kind != kind {
 				continue
 			}
-			done, err := client.Put(cmd.Context(), r, w)
+			applied, err := client.Put(cmd.Context(), r, w)
 			if err != nil {
 				return eris.Wrapf(err, "%s", r.Key())
 			}
-			if _, err := fmt.Fprintf(cmd.OutOrStdout(), "%s generation %d revision %d\n", done.Key(), done.Generation, done.Revision); err != nil {
+			if _, err := fmt.Fprintf(cmd.OutOrStdout(), "%s generation %d revision %d\n", applied.Key(), applied.Generation, applied.Revision); err != nil {
 				return err
 			}
 		}
@@ -63,11 +64,11 @@
 	return nil
 }
 
-// readResources reads and checks all files before anything is changed.
+// readResources reads and validates all files, so that an invalid file prevents any change.
 func readResources(stdin io.Reader, files []string) ([]kinds.Resource, error) {
 	var out []kinds.Resource
 	for _, file := range files {
-		data, err := readFile(stdin, file)
+		data, err := readFileOrStdin(stdin, file)
 		if err != nil {
 			return nil, err
 		}
@@ -80,7 +81,8 @@
 	return out, nil
 }
 
-func readFile(stdin io.Reader, file string) ([]byte, error) {
+// readFileOrStdin reads standard input if file is "-".
+func readFileOrStdin(stdin io.Reader, file string) ([]byte, error) {
 	if file == "-" {
 		return io.ReadAll(stdin)
 	}
--- a/cmd/foxtailcroft/causes.go
+++ b/cmd/foxtailcroft/causes.go
@@ -15,22 +15,22 @@
 	var output string
 	cmd := &cobra.Command{
 		Use:   "causes [LOG...]",
-		Short: "Tell from fronts' logs how requests ended, by route and cause",
-		Long:  "Reads log lines of fronts from files, or from standard input, and counts how requests ended, by route and cause, with times and an example of each.",
+		Short: "Count request outcomes in front logs by route and cause",
+		Long:  "Reads front logs from files, or from standard input, and counts how requests ended, by route and cause, with latencies and an example request ID for each.",
 		RunE: func(cmd *cobra.Command, files []string) error {
 			var t cause.Table
 			if err := readLogs(cmd.InOrStdin(), files, &t); err != nil {
 				return err
 			}
 			rows := t.Rows()
-			return print.Value(cmd.OutOrStdout(), output, rows, func(w io.Writer) error { return cause.Write(w, rows) })
+			return print.Write(cmd.OutOrStdout(), output, rows, func(w io.Writer) error { return cause.Write(w, rows) })
 		},
 	}
 	cmd.Flags().StringVarP(&output, "output", "o", print.Table, "table, json or yaml")
 	return cmd
 }
 
-// readLogs reads the named files, or standard input if there are none.
+// readLogs adds the requests of the named log files, or of standard input if there are none, to t.
 func readLogs(in io.Reader, files []string, t *cause.Table) error {
 	if len(files) == 0 {
 		return cause.Read(in, t.Add)
--- a/cmd/foxtailcroft/config.go
+++ b/cmd/foxtailcroft/config.go
@@ -13,7 +13,7 @@
 )
 
 func configCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "config", Short: "Check settings and resource files, or print examples"}
+	cmd := &cobra.Command{Use: "config", Short: "Validate settings and resource files, or print example settings"}
 	cmd.AddCommand(configCheck(), configExample())
 	return cmd
 }
@@ -21,15 +21,15 @@
 func configCheck() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check FILE...",
-		Short: "Check files of resources, of an entry's or agent's settings, or of the platform's settings",
+		Short: "Validate resource files and the settings files of entries, agents and the platform",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			for _, file := range args {
-				what, err := checkFile(file)
+				contents, err := checkFile(file)
 				if err != nil {
 					return err
 				}
-				if _, err := fmt.Fprintf(cmd.OutOrStdout(), "%s: valid %s\n", file, what); err != nil {
+				if _, err := fmt.Fprintf(cmd.OutOrStdout(), "%s: valid %s\n", file, contents); err != nil {
 					return err
 				}
 			}
@@ -38,7 +38,7 @@
 	}
 }
 
-// checkFile tells by its fields what a file is, and checks it as that.
+// checkFile infers the type of a file from its fields, validates it and returns a description of the type.
 func checkFile(file string) (string, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -48,10 +48,10 @@
 	case json.Valid(data):
 		_, err := platform.DecodeSettings(file, data)
 		return "platform settings", err
-	case hasField(data, "Kind"):
+	case hasTopLevelField(data, "Kind"):
 		list, err := conf.Resources(file, data)
 		return fmt.Sprintf("file of %d resources", len(list)), err
-	case hasField(data, "Engine"), hasField(data, "Service"):
+	case hasTopLevelField(data, "Engine"), hasTopLevelField(data, "Service"):
 		_, err := conf.ReadAgent(file)
 		return "agent settings", err
 	}
@@ -59,8 +59,8 @@
 	return "entry settings", err
 }
 
-// hasField reports whether a line of the document's top level begins with the field.
-func hasField(data []byte, name string) bool {
+// hasTopLevelField reports whether a YAML document has the named field at its top level.
+func hasTopLevelField(data []byte, name string) bool {
 	field := []byte(name + ":")
 	return bytes.HasPrefix(data, field) || bytes.Contains(data, append([]byte("\n"), field...))
 }
@@ -68,7 +68,7 @@
 func configExample() *cobra.Command {
 	return &cobra.Command{
 		Use:       "example ROLE",
-		Short:     "Print example settings of a role",
+		Short:     "Print example settings for a role",
 		Args:      cobra.MatchAll(cobra.ExactArgs(1), cobra.OnlyValidArgs),
 		ValidArgs: conf.ExampleRoles(),
 		RunE: func(cmd *cobra.Command, args []string) error {
--- a/cmd/foxtailcroft/delete.go
+++ b/cmd/foxtailcroft/delete.go
@@ -10,7 +10,7 @@
 )
 
 func deleteCommand() *cobra.Command {
-	var t target
+	var flags entryFlags
 	var revision int64
 	var dryRun bool
 	cmd := &cobra.Command{
@@ -27,15 +27,15 @@
 			if cmd.Flags().Changed("revision") {
 				w.Revision = &revision
 			}
-			if err := t.client().Delete(cmd.Context(), kind, args[1], w); err != nil {
+			if err := flags.client().Delete(cmd.Context(), kind, args[1], w); err != nil {
 				return err
 			}
 			_, err = fmt.Fprintf(cmd.OutOrStdout(), "%s deleted\n", kinds.Key(kind, args[1]))
 			return err
 		},
 	}
-	t.add(cmd, "")
-	cmd.Flags().Int64Var(&revision, "revision", 0, "revision that the resource must be at")
-	cmd.Flags().BoolVar(&dryRun, "dry-run", false, "check without changing anything")
+	flags.register(cmd, "")
+	cmd.Flags().Int64Var(&revision, "revision", 0, "delete only if the resource is at this revision")
+	cmd.Flags().BoolVar(&dryRun, "dry-run", false, "validate the deletion without carrying it out")
 	return cmd
 }
--- a/cmd/foxtailcroft/dev.go
+++ b/cmd/foxtailcroft/dev.go
@@ -18,26 +18,26 @@
 	"foxtailcroft/internal/oper/remote"
 )
 
-// readyTimeout bounds the start of the deployment.
+// readyTimeout bounds the time to apply the example resources and for them to come into force.
 const readyTimeout = 60 * time.Second
 
 func devCommand() *cobra.Command {
-	var checked bool
+	var runChecks bool
 	var level string
 	cmd := &cobra.Command{
 		Use:   "dev",
-		Short: "Run a whole deployment with stand-ins in one process on loopback",
+		Short: "Run a complete deployment with stand-ins in one process on the loopback interface",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return runDev(cmd, checked, level)
+			return runDev(cmd, runChecks, level)
 		},
 	}
-	cmd.Flags().BoolVar(&checked, "check", false, "send the example requests, judge how each ends, and exit")
+	cmd.Flags().BoolVar(&runChecks, "check", false, "send the example requests, check their outcomes and exit")
 	cmd.Flags().StringVar(&level, "log", "error", "log level: debug, info, warn or error")
 	return cmd
 }
 
-func runDev(cmd *cobra.Command, checked bool, level string) error {
+func runDev(cmd *cobra.Command, runChecks bool, level string) error {
 	log, err := logs.New(os.Stderr, level, "dev")
 	if err != nil {
 		return eris.Wrap(err, "logger")
@@ -52,13 +52,13 @@
 	}
 	defer closeDev()
 	client := remote.New(d.Entries[0], "dev")
-	if err := devReady(cmd.Context(), client, resources); err != nil {
+	if err := applyExamples(cmd.Context(), client, resources); err != nil {
 		return err
 	}
-	if checked {
-		return devCheck(cmd.Context(), cmd.OutOrStdout(), client, d)
+	if runChecks {
+		return checkExampleRequests(cmd.Context(), cmd.OutOrStdout(), client, d)
 	}
-	if err := devPrint(cmd.OutOrStdout(), d); err != nil {
+	if err := printURLs(cmd.OutOrStdout(), d); err != nil {
 		return err
 	}
 	select {
@@ -69,8 +69,8 @@
 	}
 }
 
-// devReady applies the example resources and waits until they are in force.
-func devReady(ctx context.Context, client *remote.Client, resources []kinds.Resource) error {
+// applyExamples applies the example resources and waits until they are in force.
+func applyExamples(ctx context.Context, client *remote.Client, resources []kinds.Resource) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	if err := check.Apply(ctx, client, resources); err != nil {
@@ -79,7 +79,8 @@
 	return check.WaitReady(ctx, client, resources)
 }
 
-func devCheck(ctx context.Context, out io.Writer, client *remote.Client, d *local.Deployment) error {
+// checkExampleRequests sends the example requests and checks their outcomes.
+func checkExampleRequests(ctx context.Context, out io.Writer, client *remote.Client, d *local.Deployment) error {
 	requests, err := check.Requests(sample.Files)
 	if err != nil {
 		return err
@@ -92,7 +93,8 @@
 	})
 }
 
-func devPrint(out io.Writer, d *local.Deployment) error {
+// printURLs writes the base URLs of the entries and of the platform stand-in.
+func printURLs(out io.Writer, d *local.Deployment) error {
 	for i, e := range d.Entries {
 		if _, err := fmt.Fprintf(out, "entry-%d  %s\n", i+1, e); err != nil {
 			return err
--- a/cmd/foxtailcroft/entry.go
+++ b/cmd/foxtailcroft/entry.go
@@ -16,7 +16,7 @@
 	var file string
 	cmd := &cobra.Command{
 		Use:   "entry --config FILE",
-		Short: "Run an entry: the callers' and operators' APIs",
+		Short: "Run an entry, which serves the caller and operator APIs",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return runEntry(cmd, file)
@@ -26,29 +26,29 @@
 	return cmd
 }
 
-// configFlag adds the flag that names a settings file.
+// configFlag adds the required flag for the path of a settings file.
 func configFlag(cmd *cobra.Command, file *string) {
-	cmd.Flags().StringVar(file, "config", "", "settings file")
+	cmd.Flags().StringVar(file, "config", "", "path of the settings file")
 	if err := cmd.MarkFlagRequired("config"); err != nil {
 		panic(err)
 	}
 }
 
 func runEntry(cmd *cobra.Command, file string) error {
-	set, err := conf.ReadEntry(file)
+	settings, err := conf.ReadEntry(file)
 	if err != nil {
 		return err
 	}
-	node := plan.Node{Name: set.Node.Name, Role: plan.Entry, Region: set.Node.Region, Domain: set.Node.Domain}
-	o, err := memberOptions(node, set.Listen.Peers, set.Platform, set.Log.Level)
+	node := plan.Node{Name: settings.Node.Name, Role: plan.Entry, Region: settings.Node.Region, Domain: settings.Node.Domain}
+	o, err := memberOptions(node, settings.Listen.Peers, settings.Platform, settings.Log.Level)
 	if err != nil {
 		return err
 	}
-	callers, err := net.Listen("tcp", set.Listen.Callers)
+	callers, err := net.Listen("tcp", settings.Listen.Callers)
 	if err != nil {
 		return eris.Wrap(err, "caller listener")
 	}
-	e, closeEntry := entry.New(set, o)
+	e, closeEntry := entry.New(settings, o)
 	return supervise(cmd.Context(), o.Log, func(t *tree.Tree) error {
 		t.OnClose(closeEntry)
 		e.Start(t, callers)
--- a/cmd/foxtailcroft/front.go
+++ b/cmd/foxtailcroft/front.go
@@ -25,42 +25,43 @@
 )
 
 const (
-	// logBuffer is how many log lines wait for a slow reader before lines are dropped.
-	logBuffer = 4096
-	// memoryShare is the part of the memory limit at which the collector works harder, in percent.
-	memoryShare = 60
+	// logBufferLines bounds the log lines that are buffered for a slow reader; further lines are dropped.
+	logBufferLines = 4096
+	// softMemoryLimitPercent is the share of the process's memory limit that the Go runtime gets as its soft
+	// limit, at which garbage is collected more often.
+	softMemoryLimitPercent = 60
 )
 
 func frontCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "front",
-		Short: "Run an entry on the platform named by " + platform.SettingsVariable,
+		Short: "Run a front with the settings file named by " + platform.SettingsVariable,
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			file := os.Getenv(platform.SettingsVariable)
-			set, err := platform.ReadSettings(file)
+			settings, err := platform.ReadSettings(file)
 			if err != nil {
 				return err
 			}
-			return runFront(cmd.Context(), file, set)
+			return runFront(cmd.Context(), file, settings)
 		},
 	}
 }
 
-func runFront(ctx context.Context, file string, set conf.Front) error {
+func runFront(ctx context.Context, file string, settings conf.Front) error {
 	signal.Ignore(syscall.SIGPIPE)
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
-	if set.MemoryBytes > 0 {
-		debug.SetMemoryLimit(set.MemoryBytes * memoryShare / 100)
+	if settings.MemoryBytes > 0 {
+		debug.SetMemoryLimit(settings.MemoryBytes * softMemoryLimitPercent / 100)
 	}
-	out, closeOut := logs.NewBounded(os.Stdout, logBuffer)
+	out, closeOut := logs.NewBounded(os.Stdout, logBufferLines)
 	defer closeOut()
-	log, err := logs.NewSplit(out, "info", set.Node.Name)
+	log, err := logs.NewSplit(out, "info", settings.Node.Name)
 	if err != nil {
 		return eris.Wrap(err, "logger")
 	}
-	listeners, err := listen(ctx, set.Listen)
+	listeners, err := openListeners(ctx, settings.Listen)
 	if err != nil {
 		return err
 	}
@@ -74,10 +75,10 @@
 		return float64(routine)
 	})
 	f, closeFront := front.New(front.Options{
-		Settings: set, Dialect: platform.Dialect{}, Dial: conns.TCP, DialPeers: conns.TCP, ReadyPath: platform.ReadyPath, Meters: meters, Log: log,
-		Store: platform.NewStore(set.Store, &http.Transport{DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
+		Settings: settings, Dialect: platform.Dialect{}, Dial: conns.TCP, DialPeers: conns.TCP, ReadyPath: platform.ReadyPath, Meters: meters, Log: log,
+		Store: platform.NewStore(settings.Store, &http.Transport{DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
 			return conns.TCP(ctx, address)
-		}}, min(set.Bounds.InForce, set.Bounds.Contact*2/3), meters),
+		}}, min(settings.Bounds.InForce, settings.Bounds.Contact*2/3), meters),
 		Layout: follow.Layout{
 			DocumentKey: platform.ConfigKey, InstancePrefix: platform.ServerPrefix,
 			Prefixes: []string{platform.OperatorPrefix, platform.ServerPrefix, follow.OwnPrefix},
@@ -87,14 +88,14 @@
 	return supervise(ctx, log, func(t *tree.Tree) error {
 		t.OnClose(closeFront)
 		f.Start(t, listeners)
-		t.Keep("Reload", func(ctx context.Context) { reread(ctx, reload, file, set, log) })
+		t.Keep("Reload", func(ctx context.Context) { recheckSettings(ctx, reload, file, settings, log) })
 		return nil
 	}, f.Drain)
 }
 
-// reread reads the settings again at each signal and says what became of it:
-// settings are in force from a process' start, as addresses and bounds do not change while it runs.
-func reread(ctx context.Context, signals <-chan os.Signal, file string, set conf.Front, log *zap.Logger) {
+// recheckSettings reads and validates the settings file at each signal and logs whether a restart is needed.
+// It never applies new settings, because addresses and bounds do not change while the process runs.
+func recheckSettings(ctx context.Context, signals <-chan os.Signal, file string, settings conf.Front, log *zap.Logger) {
 	for {
 		select {
 		case <-signals:
@@ -103,20 +104,20 @@
 		}
 		next, err := platform.ReadSettings(file)
 		if err != nil {
-			log.Error("settings cannot be read again, the old ones stay in force", zap.Error(err))
+			log.Error("reading settings on signal failed; keeping the current ones", zap.Error(err))
 			continue
 		}
-		log.Info("settings read again", zap.Bool("RestartNeeded", !reflect.DeepEqual(next, set)))
+		log.Info("settings read on signal; changes take effect after a restart", zap.Bool("RestartNeeded", !reflect.DeepEqual(next, settings)))
 	}
 }
 
-// listen opens a front's listeners.
-func listen(ctx context.Context, l conf.FrontListen) (front.Listeners, error) {
+// openListeners opens the listeners of a front that have an address.
+func openListeners(ctx context.Context, l conf.FrontListen) (front.Listeners, error) {
 	var out front.Listeners
 	config := net.ListenConfig{KeepAliveConfig: conns.KeepAlive, Control: conns.Control}
 	for _, x := range []struct {
 		name, address string
-		to            *net.Listener
+		dest          *net.Listener
 	}{
 		{"callers", l.Callers, &out.Callers}, {"ready", l.Ready, &out.Ready}, {"peers", l.Peers, &out.Peers}, {"metrics", l.Metrics, &out.Metrics},
 	} {
@@ -127,7 +128,7 @@
 		if err != nil {
 			return out, eris.Wrapf(err, "listener for %s", x.name)
 		}
-		*x.to = lis
+		*x.dest = lis
 	}
 	return out, nil
 }
--- a/cmd/foxtailcroft/get.go
+++ b/cmd/foxtailcroft/get.go
@@ -8,21 +8,21 @@
 )
 
 func getCommand() *cobra.Command {
-	var t target
+	var flags entryFlags
 	cmd := &cobra.Command{
 		Use:               "get KIND [NAME]",
-		Short:             "Show the resources of a kind, or one with its status",
+		Short:             "List the resources of a kind, or show one with its status",
 		Args:              cobra.RangeArgs(1, 2),
 		ValidArgsFunction: completeKinds,
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return runGet(cmd, t, args)
+			return runGet(cmd, flags, args)
 		},
 	}
-	t.add(cmd, print.Table)
+	flags.register(cmd, print.Table)
 	return cmd
 }
 
-// completeKinds completes the kind argument in a shell.
+// completeKinds returns the shell completions of the KIND argument.
 func completeKinds(_ *cobra.Command, args []string, _ string) ([]string, cobra.ShellCompDirective) {
 	if len(args) > 0 {
 		return nil, cobra.ShellCompDirectiveNoFileComp
@@ -34,21 +34,22 @@
 	return names, cobra.ShellCompDirectiveNoFileComp
 }
 
-func runGet(cmd *cobra.Command, t target, args []string) error {
+// runGet lists the resources of a kind, or shows one if its name is given.
+func runGet(cmd *cobra.Command, flags entryFlags, args []string) error {
 	kind, err := kinds.Parse(args[0])
 	if err != nil {
 		return err
 	}
 	if len(args) == 1 {
-		list, err := t.client().List(cmd.Context(), kind)
+		list, err := flags.client().List(cmd.Context(), kind)
 		if err != nil {
 			return err
 		}
-		return print.Value(cmd.OutOrStdout(), t.output, list, print.Resources(list.Items))
+		return print.Write(cmd.OutOrStdout(), flags.output, list, print.Resources(list.Items))
 	}
-	item, err := t.client().Get(cmd.Context(), kind, args[1])
+	item, err := flags.client().Get(cmd.Context(), kind, args[1])
 	if err != nil {
 		return err
 	}
-	return print.Value(cmd.OutOrStdout(), t.output, item, print.Item(item))
+	return print.Write(cmd.OutOrStdout(), flags.output, item, print.Item(item))
 }
--- a/cmd/foxtailcroft/main.go
+++ b/cmd/foxtailcroft/main.go
@@ -1,4 +1,4 @@
-// Command foxtailcroft serves rarely used language models and adapters: it runs each role of the system and the operators' commands.
+// Command foxtailcroft serves rarely used language models and adapters: it runs every role of the system and the commands for operators.
 package main
 
 import (
@@ -16,30 +16,30 @@
 
 // The exit codes.
 const (
-	exitFailed  = 1
-	exitSetting = 2
+	exitFailure         = 1
+	exitInvalidSettings = 2
 )
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	if err := root().ExecuteContext(ctx); err != nil {
+	if err := rootCommand().ExecuteContext(ctx); err != nil {
 		stop()
 		fmt.Fprintln(os.Stderr, "foxtailcroft:", err)
 		os.Exit(exitCode(err))
 	}
 }
 
-// exitCode tells wrong settings from other failures.
+// exitCode distinguishes invalid settings and missing files from other failures.
 func exitCode(err error) int {
-	var wrong *conf.Wrong
-	if errors.As(err, &wrong) || errors.Is(err, os.ErrNotExist) {
-		return exitSetting
+	var invalid *conf.Wrong
+	if errors.As(err, &invalid) || errors.Is(err, os.ErrNotExist) {
+		return exitInvalidSettings
 	}
-	return exitFailed
+	return exitFailure
 }
 
-func root() *cobra.Command {
+func rootCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:           "foxtailcroft",
 		Short:         "Serve rarely used language models and adapters",
--- a/cmd/foxtailcroft/measure.go
+++ b/cmd/foxtailcroft/measure.go
@@ -18,43 +18,43 @@
 	var seeds []uint
 	cmd := &cobra.Command{
 		Use:   "measure",
-		Short: "Run the policies over generated workloads in simulated time and print the table",
+		Short: "Compare the policies on generated workloads in simulated time",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return runMeasure(cmd, seedsOr(seeds, sheet.VerdictSeeds()))
+			return runMeasure(cmd, seedsOrDefault(seeds, sheet.VerdictSeeds()))
 		},
 	}
-	cmd.PersistentFlags().UintSliceVar(&seeds, "seeds", nil, "seeds of the workloads; the verdict's seeds if not given")
+	cmd.PersistentFlags().UintSliceVar(&seeds, "seeds", nil, "seeds of the workloads (default: the seeds of the verdict)")
 	cmd.AddCommand(measureChoiceCommand(&seeds))
 	return cmd
 }
 
-// measureChoiceCommand measures the choice of servers and the placing of models against emulated model servers.
+// measureChoiceCommand returns the command that measures instance selection and model placement against emulated model servers.
 func measureChoiceCommand(seeds *[]uint) *cobra.Command {
 	var site, output, plot string
 	cmd := &cobra.Command{
 		Use:   "choice",
-		Short: "Measure what the knowledge behind choosing servers and placing models is worth, against emulated model servers",
+		Short: "Measure how much each input improves server selection and model placement, with emulated model servers",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			sites := map[string]func(float64, uint64) emul.Options{"spares": emul.Spares, "blankets": emul.Blankets}
 			if sites[site] == nil {
 				return fmt.Errorf("flag --site: %q is neither spares nor blankets", site)
 			}
-			rows := emul.Experiment(sites[site], seedsOr(*seeds, sheet.VerdictSeeds()))
+			rows := emul.Experiment(sites[site], seedsOrDefault(*seeds, sheet.VerdictSeeds()))
 			if err := writePlot(plot, site, rows); err != nil {
 				return err
 			}
-			return print.Value(cmd.OutOrStdout(), output, rows, func(w io.Writer) error { return emul.Write(w, rows) })
+			return print.Write(cmd.OutOrStdout(), output, rows, func(w io.Writer) error { return emul.Write(w, rows) })
 		},
 	}
-	cmd.Flags().StringVar(&site, "site", "spares", "spares or blankets: the size and load of a site")
+	cmd.Flags().StringVar(&site, "site", "spares", "example site to emulate: spares or blankets")
 	cmd.Flags().StringVarP(&output, "output", "o", print.Table, "table, json or yaml")
-	cmd.Flags().StringVar(&plot, "plot", "", "file for a plot as SVG")
+	cmd.Flags().StringVar(&plot, "plot", "", "write a plot in SVG format to this file")
 	return cmd
 }
 
-// writePlot draws rows into a file, if one is named.
+// writePlot plots rows as SVG into the file. It does nothing if file is empty.
 func writePlot(file, site string, rows []emul.Row) error {
 	if file == "" {
 		return nil
@@ -66,13 +66,14 @@
 	return errors.Join(emul.Plot(f, "Requests served in time, "+site, rows), f.Close())
 }
 
-func seedsOr(given []uint, others []uint64) []uint64 {
-	if len(given) == 0 {
-		return others
+// seedsOrDefault returns seeds, or defaults if there are none.
+func seedsOrDefault(seeds []uint, defaults []uint64) []uint64 {
+	if len(seeds) == 0 {
+		return defaults
 	}
 	var list []uint64
-	for _, s := range given {
-		list = append(list, uint64(s))
+	for _, seed := range seeds {
+		list = append(list, uint64(seed))
 	}
 	return list
 }
--- a/cmd/foxtailcroft/operate.go
+++ b/cmd/foxtailcroft/operate.go
@@ -9,35 +9,35 @@
 	"foxtailcroft/internal/oper/remote"
 )
 
-// target are the flags of the commands that call an entry.
-type target struct {
+// entryFlags holds the flags of the commands that call the operator API of an entry.
+type entryFlags struct {
 	entry  string
 	actor  string
 	output string
 }
 
-// defaultEntry is the entry that the commands call unless told otherwise.
+// defaultEntry is the base URL used if neither --entry nor FOXTAILCROFT_ENTRY is set.
 const defaultEntry = "http://127.0.0.1:8080"
 
-// add adds the flags to a command.
-func (t *target) add(cmd *cobra.Command, output string) {
+// register adds the flags to a command. The output flag is left out if its default, output, is empty.
+func (t *entryFlags) register(cmd *cobra.Command, output string) {
 	entry := os.Getenv("FOXTAILCROFT_ENTRY")
 	if entry == "" {
 		entry = defaultEntry
 	}
 	cmd.Flags().StringVar(&t.entry, "entry", entry, "base URL of any entry (or FOXTAILCROFT_ENTRY)")
-	cmd.Flags().StringVar(&t.actor, "as", operator(), "operator's name for the audit trail")
+	cmd.Flags().StringVar(&t.actor, "as", currentUserName(), "operator name recorded in the audit trail")
 	if output != "" {
 		cmd.Flags().StringVarP(&t.output, "output", "o", output, "table, json or yaml")
 	}
 }
 
-func (t *target) client() *remote.Client {
+func (t *entryFlags) client() *remote.Client {
 	return remote.New(t.entry, t.actor)
 }
 
-// operator returns the name of the user who runs the command.
-func operator() string {
+// currentUserName returns the name of the user who runs the command, or "unknown" if the lookup fails.
+func currentUserName() string {
 	if u, err := user.Current(); err == nil {
 		return u.Username
 	}
--- a/cmd/foxtailcroft/process.go
+++ b/cmd/foxtailcroft/process.go
@@ -20,7 +20,7 @@
 	"foxtailcroft/internal/plat/store"
 )
 
-// memberOptions opens what entries and agents have in common.
+// memberOptions opens the logger, peer listener and platform clients that entries and agents share.
 func memberOptions(node plan.Node, listen string, platform conf.Platform, level string) (member.Options, error) {
 	log, err := logs.New(os.Stdout, level, node.Name)
 	if err != nil {
@@ -39,7 +39,7 @@
 	}, nil
 }
 
-// supervise runs a process until it is told to stop or a part fails, then drains it.
+// supervise runs a process until ctx ends, then drains it. If a part fails it returns the error without draining.
 func supervise(ctx context.Context, log *zap.Logger, start func(*tree.Tree) error, drain func(context.Context)) error {
 	t, closeTree := tree.New(context.WithoutCancel(ctx), log)
 	defer closeTree()
--- a/cmd/foxtailcroft/standin.go
+++ b/cmd/foxtailcroft/standin.go
@@ -18,17 +18,18 @@
 )
 
 func standinCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "standin", Short: "Run a stand-in for a part that the platform gives"}
+	cmd := &cobra.Command{Use: "standin", Short: "Run a stand-in for a component of the platform"}
 	cmd.AddCommand(
-		standinPart("platform", "Run the stand-in key-value service and instance list", standinPlatform),
-		standinPart("engine", "Run a stand-in model engine", standinEngine),
-		standinPart("service", "Run a stand-in plain service", standinService),
+		standinSubcommand("platform", "Run the stand-in key-value service and instance list", standinPlatform),
+		standinSubcommand("engine", "Run a stand-in model engine", standinEngine),
+		standinSubcommand("service", "Run a stand-in plain service", standinService),
 	)
 	return cmd
 }
 
-// standinPart returns the command that serves one stand-in; build reads its settings file.
-func standinPart(use, short string, build func(file string) (http.Handler, string, error)) *cobra.Command {
+// standinSubcommand returns the command that serves one stand-in. Function build reads the settings file and
+// returns the handler and the listen address.
+func standinSubcommand(use, short string, build func(file string) (http.Handler, string, error)) *cobra.Command {
 	var file string
 	cmd := &cobra.Command{
 		Use: use + " --config FILE", Short: short, Args: cobra.NoArgs,
@@ -45,41 +46,41 @@
 }
 
 func standinPlatform(file string) (http.Handler, string, error) {
-	var set conf.StandinPlatform
-	if err := conf.Read(file, &set); err != nil {
+	var settings conf.StandinPlatform
+	if err := conf.Read(file, &settings); err != nil {
 		return nil, "", err
 	}
 	var list []fleet.Instance
-	for _, i := range set.Instances {
+	for _, i := range settings.Instances {
 		list = append(list, fleet.Instance{Name: i.Name, Role: i.Role, Address: i.Address, Region: i.Region, Domain: i.Domain})
 	}
-	return platf.NewPlatform(set.Seed, set.ListLag.Std(), list).Handler(), set.Listen, nil
+	return platf.NewPlatform(settings.Seed, settings.ListLag.Std(), list).Handler(), settings.Listen, nil
 }
 
 func standinEngine(file string) (http.Handler, string, error) {
-	var set conf.StandinEngine
-	if err := conf.Read(file, &set); err != nil {
+	var settings conf.StandinEngine
+	if err := conf.Read(file, &settings); err != nil {
 		return nil, "", err
 	}
 	m := motor.New(motor.Settings{
-		MemoryBytes: set.MemoryBytes, CheckFence: set.ChecksFence, LoadTime: set.LoadTime.Std(), AdapterTime: set.AdapterTime.Std(),
-		UnloadTime: set.UnloadTime.Std(), FirstToken: set.FirstToken.Std(), TokenTime: set.TokenTime.Std(), ReportLag: set.ReportLag.Std(),
+		MemoryBytes: settings.MemoryBytes, CheckFence: settings.ChecksFence, LoadTime: settings.LoadTime.Std(), AdapterTime: settings.AdapterTime.Std(),
+		UnloadTime: settings.UnloadTime.Std(), FirstToken: settings.FirstToken.Std(), TokenTime: settings.TokenTime.Std(), ReportLag: settings.ReportLag.Std(),
 	})
-	return m.Handler(), set.Listen, nil
+	return m.Handler(), settings.Listen, nil
 }
 
 func standinService(file string) (http.Handler, string, error) {
-	var set conf.StandinService
-	if err := conf.Read(file, &set); err != nil {
+	var settings conf.StandinService
+	if err := conf.Read(file, &settings); err != nil {
 		return nil, "", err
 	}
-	return shop.New(set.Name, shop.NewBook()).Handler(), set.Listen, nil
+	return shop.New(settings.Name, shop.NewBook()).Handler(), settings.Listen, nil
 }
 
-// headerTimeout bounds the reading of a request's header.
+// headerTimeout bounds the time to read a request's header.
 const headerTimeout = 10 * time.Second
 
-// serveHTTP serves until the context ends.
+// serveHTTP serves HTTP on address until the context ends.
 func serveHTTP(ctx context.Context, h http.Handler, address string) error {
 	lis, err := net.Listen("tcp", address)
 	if err != nil {
@@ -87,7 +88,7 @@
 	}
 	server := &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout}
 	stop := context.AfterFunc(ctx, func() {
-		// The process ends with its server.
+		// The process exits next, so an error in closing does not matter.
 		_ = server.Close()
 	})
 	defer stop()
--- a/cmd/foxtailcroft/status.go
+++ b/cmd/foxtailcroft/status.go
@@ -12,50 +12,50 @@
 	"foxtailcroft/internal/oper/print"
 )
 
-// refreshEvery is how often a watched status is read again.
-const refreshEvery = time.Second
+// statusRefreshInterval is the time between two reads of the status with --watch.
+const statusRefreshInterval = time.Second
 
-// clearScreen moves a terminal's cursor home and clears what is below.
+// clearScreen is the escape sequence that moves the cursor to the top left and clears the screen.
 const clearScreen = "\x1b[H\x1b[2J"
 
 func statusCommand() *cobra.Command {
-	var t target
-	var follow bool
+	var flags entryFlags
+	var watch bool
 	cmd := &cobra.Command{
 		Use:   "status",
-		Short: "Show models, endpoints and the revisions in force",
+		Short: "Show models, endpoints and the revision in force on each node",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return runStatus(cmd, t, follow)
+			return runStatus(cmd, flags, watch)
 		},
 	}
-	t.add(cmd, print.Table)
-	cmd.Flags().BoolVarP(&follow, "watch", "w", false, "show it again every second until interrupted")
+	flags.register(cmd, print.Table)
+	cmd.Flags().BoolVarP(&watch, "watch", "w", false, "refresh the status every second until interrupted")
 	return cmd
 }
 
-func runStatus(cmd *cobra.Command, t target, follow bool) error {
-	client, out := t.client(), cmd.OutOrStdout()
+func runStatus(cmd *cobra.Command, flags entryFlags, watch bool) error {
+	client, out := flags.client(), cmd.OutOrStdout()
 	for {
 		cluster, err := client.Cluster(cmd.Context())
 		if err != nil {
 			return err
 		}
-		if follow && isTerminal(out) {
+		if watch && isTerminal(out) {
 			if _, err := fmt.Fprint(out, clearScreen); err != nil {
 				return err
 			}
 		}
-		if err := print.Value(out, t.output, cluster, print.Cluster(cluster)); err != nil || !follow {
+		if err := print.Write(out, flags.output, cluster, print.Cluster(cluster)); err != nil || !watch {
 			return err
 		}
-		if !pause.For(cmd.Context(), refreshEvery) {
+		if !pause.For(cmd.Context(), statusRefreshInterval) {
 			return nil
 		}
 	}
 }
 
-// isTerminal reports whether a person looks at the output.
+// isTerminal reports whether w is a character device, such as a terminal.
 func isTerminal(w io.Writer) bool {
 	f, ok := w.(*os.File)
 	if !ok {
--- a/cmd/foxtailcroft/transport.go
+++ b/cmd/foxtailcroft/transport.go
@@ -7,19 +7,19 @@
 )
 
 const (
-	dialTimeout = 1500 * time.Millisecond
-	keepAlive   = 10 * time.Second
-	idleConns   = 64
+	dialTimeout         = 1500 * time.Millisecond
+	keepAliveInterval   = 10 * time.Second
+	maxIdleConnsPerHost = 64
 )
 
-// transport returns a transport that dials quickly and keeps a bounded number of idle connections.
+// transport returns a transport with a short dial timeout and a bounded number of idle connections.
 func transport() *http.Transport {
-	dialer := &net.Dialer{Timeout: dialTimeout, KeepAlive: keepAlive}
-	return &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: idleConns, IdleConnTimeout: time.Minute}
+	dialer := &net.Dialer{Timeout: dialTimeout, KeepAlive: keepAliveInterval}
+	return &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: maxIdleConnsPerHost, IdleConnTimeout: time.Minute}
 }
 
-// freshTransport returns a transport that uses each connection once.
-func freshTransport() *http.Transport {
+// singleUseTransport returns a transport that opens a new connection for each request.
+func singleUseTransport() *http.Transport {
 	t := transport()
 	t.DisableKeepAlives = true
 	return t
--- a/cmd/foxtailcroft/watch.go
+++ b/cmd/foxtailcroft/watch.go
@@ -12,30 +12,30 @@
 )
 
 func watchCommand() *cobra.Command {
-	var t target
+	var flags entryFlags
 	var revision int64
 	cmd := &cobra.Command{
 		Use:               "watch KIND",
-		Short:             "Show the changes of a kind as they come into force",
+		Short:             "Stream the changes to resources of a kind as they come into force",
 		Args:              cobra.ExactArgs(1),
 		ValidArgsFunction: completeKinds,
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return runWatch(cmd, t, args[0], revision)
+			return runWatch(cmd, flags, args[0], revision)
 		},
 	}
-	t.add(cmd, print.Table)
-	cmd.Flags().Int64Var(&revision, "revision", 0, "show the changes after this revision; 0 begins with all resources")
+	flags.register(cmd, print.Table)
+	cmd.Flags().Int64Var(&revision, "revision", 0, "show changes after this revision; 0 starts with all resources")
 	return cmd
 }
 
-func runWatch(cmd *cobra.Command, t target, name string, revision int64) error {
+func runWatch(cmd *cobra.Command, flags entryFlags, name string, revision int64) error {
 	kind, err := kinds.Parse(name)
 	if err != nil {
 		return err
 	}
 	out := cmd.OutOrStdout()
-	err = t.client().Watch(cmd.Context(), kind, revision, func(e admin.Event) error {
-		if t.output == print.JSON {
+	err = flags.client().Watch(cmd.Context(), kind, revision, func(e admin.Event) error {
+		if flags.output == print.JSON {
 			return json.NewEncoder(out).Encode(e)
 		}
 		if e.Type == "Bookmark" {
--- a/examples/doc.go
+++ b/examples/doc.go
@@ -1,2 +1,2 @@
-// Package sample holds the example resources and requests that the dev command and the tests use.
+// Package sample embeds the example resources and requests used by the dev command and the tests.
 package sample
--- a/internal/oper/cause/doc.go
+++ b/internal/oper/cause/doc.go
@@ -1,3 +1,3 @@
-// Package cause reads fronts' log lines and tells what became of requests,
-// and of those that were not served in time, why.
+// Package cause classifies the request log lines of fronts by outcome, and by the reason why a request was not
+// served in time.
 package cause
--- a/internal/oper/cause/line.go
+++ b/internal/oper/cause/line.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Line is the log line in which a front tells how a request ended.
-type Line struct {
+// RequestLine is the log line that a front writes at the end of a request.
+type RequestLine struct {
 	Message  string
 	Node     string
 	Request  string
@@ -22,113 +22,116 @@
 	Reason   string
 	Sends    int
 	Unsent   int
-	// HeldMs is how long the front waited for an instance, FirstMs when the answer began, GapMs its longest pause.
+	// HeldMs is the wait for an instance, FirstMs the time to the first event of the answer, GapMs the longest
+	// pause between events, and Ms the whole time of the request, in milliseconds.
 	HeldMs  int64
 	FirstMs int64
 	GapMs   int64
 	Ms      int64
-	// GoalMs and MaxGapMs are the route's, 0 if it has none.
+	// GoalMs and MaxGapMs are the route's limits for FirstMs and GapMs, in milliseconds; 0 if it has none.
 	GoalMs   int64
 	MaxGapMs int64
 }
 
-// maxLine bounds one log line.
-const maxLine = 1 << 20
+// maxLineBytes bounds the length of one log line.
+const maxLineBytes = 1 << 20
 
-// Malformed reports a line of a request that cannot be read.
-type Malformed struct {
-	Number int
-	Err    error
+// MalformedLine reports a request log line that cannot be decoded.
+type MalformedLine struct {
+	LineNumber int
+	Err        error
 }
 
-// Error names the line.
-func (m *Malformed) Error() string {
-	return fmt.Sprintf("line %d: %v", m.Number, m.Err)
+// Error returns the number of the line and the decoding error.
+func (m *MalformedLine) Error() string {
+	return fmt.Sprintf("line %d: %v", m.LineNumber, m.Err)
 }
 
-// Unwrap returns the cause.
-func (m *Malformed) Unwrap() error {
+// Unwrap returns the decoding error.
+func (m *MalformedLine) Unwrap() error {
 	return m.Err
 }
 
-var requestMark = []byte(`"Message":"request"`)
+var requestMessage = []byte(`"Message":"request"`)
 
-// Read calls f with the end of each request in a log; what a collector has put before a line's first brace is passed over.
-func Read(r io.Reader, f func(Line)) error {
+// Read calls f for each request log line. It skips other lines, and the prefix that a log collector may put before
+// the first brace. It returns a *MalformedLine if a request log line cannot be decoded.
+func Read(r io.Reader, f func(RequestLine)) error {
 	lines := bufio.NewScanner(r)
-	lines.Buffer(make([]byte, 0, maxLine/16), maxLine)
+	lines.Buffer(make([]byte, 0, maxLineBytes/16), maxLineBytes)
 	for n := 1; lines.Scan(); n++ {
 		data := lines.Bytes()
 		brace := bytes.IndexByte(data, '{')
-		if brace < 0 || !bytes.Contains(data, requestMark) {
+		if brace < 0 || !bytes.Contains(data, requestMessage) {
 			continue
 		}
-		var l Line
+		var l RequestLine
 		if err := json.Unmarshal(data[brace:], &l); err != nil {
-			return &Malformed{n, err}
+			return &MalformedLine{n, err}
 		}
 		f(l)
 	}
 	return lines.Err()
 }
 
-// Cause is why a request was not served in time.
+// Cause is the class of a request by outcome; for a request that was not served in time it names the reason.
 type Cause string
 
-// The causes, and InTime for requests that were served in time.
+// The causes. Other refusals and failures have causes of the form "outcome: reason".
 const (
-	InTime        Cause = "in time"
-	LateHeld      Cause = "late: waited for the model"
-	LateRepeated  Cause = "late: sent again"
-	LateFirst     Cause = "late: slow first event"
-	Paused        Cause = "late: pause"
-	InstanceError Cause = "instance's error"
-	Broken        Cause = "broken off"
-	LeftHeld      Cause = "caller left while waiting for the model"
-	Left          Cause = "caller left"
-	Rejected      Cause = "not allowed"
+	InTime            Cause = "in time"
+	LateModelWait     Cause = "late: waited for the model"
+	LateResent        Cause = "late: sent again"
+	LateFirstEvent    Cause = "late: slow first event"
+	LatePause         Cause = "late: pause"
+	InstanceError     Cause = "instance's error"
+	BrokenOff         Cause = "broken off"
+	CallerLeftWaiting Cause = "caller left while waiting for the model"
+	CallerLeft        Cause = "caller left"
+	NotAllowed        Cause = "not allowed"
 )
 
-// heldShare is the part of the time to the first event above which waiting for the model counts as the cause.
-const heldShare = 0.5
+// minModelWaitShare is the share of the time to the first event above which the wait for the model counts as the cause.
+const minModelWaitShare = 0.5
 
-// Of returns why a request ended as it did.
-func Of(l Line) Cause {
-	held := float64(l.HeldMs) > heldShare*float64(max(l.FirstMs, l.Ms))
+// Classify returns the cause of a request. A broken stream or an unknown outcome gives BrokenOff.
+func Classify(l RequestLine) Cause {
+	held := float64(l.HeldMs) > minModelWaitShare*float64(max(l.FirstMs, l.Ms))
 	switch l.Outcome {
 	case "answered":
-		return ofAnswer(l)
+		return classifyAnswered(l)
 	case "caller left", "answered, caller left", "refused, caller left", "failed, caller left":
 		if held && l.HeldMs > 0 {
-			return LeftHeld
+			return CallerLeftWaiting
 		}
-		return Left
+		return CallerLeft
 	case "refused", "failed":
 		if l.Status == 404 || l.Status == 413 {
-			return Rejected
+			return NotAllowed
 		}
 		return Cause(l.Outcome + ": " + l.Reason)
 	}
-	return Broken
+	return BrokenOff
 }
 
-func ofAnswer(l Line) Cause {
+// classifyAnswered returns the cause of an answered request. A pause takes precedence over a late first event.
+func classifyAnswered(l RequestLine) Cause {
 	switch {
 	case l.Status >= 500:
 		return InstanceError
 	case l.MaxGapMs > 0 && l.GapMs > l.MaxGapMs:
-		return Paused
+		return LatePause
 	case l.GoalMs <= 0 || l.FirstMs <= l.GoalMs:
 		return InTime
-	case float64(l.HeldMs) > heldShare*float64(l.FirstMs):
-		return LateHeld
+	case float64(l.HeldMs) > minModelWaitShare*float64(l.FirstMs):
+		return LateModelWait
 	case l.Sends+l.Unsent > 1:
-		return LateRepeated
+		return LateResent
 	}
-	return LateFirst
+	return LateFirstEvent
 }
 
-// quantile returns the time in which a share of the sorted times lie.
+// quantile returns the given quantile (0 to 1) of times in milliseconds, sorted in ascending order; 0 if there are none.
 func quantile(sorted []int64, share float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
--- a/internal/oper/cause/table.go
+++ b/internal/oper/cause/table.go
@@ -7,25 +7,26 @@
 	"slices"
 )
 
-// Row is what the requests of one route and cause have in common.
+// Row summarizes the requests of one route and cause.
 type Row struct {
 	Route    string
 	Cause    Cause
 	Requests int
-	// Share is the part of the route's requests.
+	// Share is Requests divided by all requests of the route.
 	Share float64
-	// FirstMedianMs and First90Ms are times until the answer began, and HeldMedianMs the wait for an instance.
+	// FirstMedianMs and First90Ms are the median and 90th percentile of the time to the first event, and
+	// HeldMedianMs is the median wait for an instance.
 	FirstMedianMs int64
 	First90Ms     int64
 	HeldMedianMs  int64
-	// Example is the id of one such request.
+	// Example is the ID of one of the requests.
 	Example string
 }
 
-// Table gathers requests by route and cause; its zero value is empty.
+// Table collects requests by route and cause. Its zero value is an empty table.
 type Table struct {
-	groups map[group]*gathered
-	routes map[string]int
+	groups        map[group]*samples
+	routeRequests map[string]int
 }
 
 type group struct {
@@ -33,36 +34,36 @@
 	cause Cause
 }
 
-type gathered struct {
-	first, held []int64
-	example     string
+type samples struct {
+	firstMs, heldMs []int64
+	example         string
 }
 
 // Add counts a request.
-func (t *Table) Add(l Line) {
+func (t *Table) Add(l RequestLine) {
 	if t.groups == nil {
-		t.groups, t.routes = map[group]*gathered{}, map[string]int{}
+		t.groups, t.routeRequests = map[group]*samples{}, map[string]int{}
 	}
-	k := group{l.Route, Of(l)}
+	k := group{l.Route, Classify(l)}
 	g := t.groups[k]
 	if g == nil {
-		g = &gathered{example: l.Request}
+		g = &samples{example: l.Request}
 		t.groups[k] = g
 	}
-	t.routes[l.Route]++
-	g.first, g.held = append(g.first, l.FirstMs), append(g.held, l.HeldMs)
+	t.routeRequests[l.Route]++
+	g.firstMs, g.heldMs = append(g.firstMs, l.FirstMs), append(g.heldMs, l.HeldMs)
 }
 
-// Rows returns the groups, each route's largest first.
+// Rows returns one row for each route and cause, sorted by route and then by falling number of requests.
 func (t *Table) Rows() []Row {
 	out := make([]Row, 0, len(t.groups))
 	for k, g := range t.groups {
-		slices.Sort(g.first)
-		slices.Sort(g.held)
+		slices.Sort(g.firstMs)
+		slices.Sort(g.heldMs)
 		out = append(out, Row{
-			Route: k.route, Cause: k.cause, Requests: len(g.first), Share: float64(len(g.first)) / float64(t.routes[k.route]),
-			FirstMedianMs: quantile(g.first, median).Milliseconds(), First90Ms: quantile(g.first, most).Milliseconds(),
-			HeldMedianMs: quantile(g.held, median).Milliseconds(), Example: g.example,
+			Route: k.route, Cause: k.cause, Requests: len(g.firstMs), Share: float64(len(g.firstMs)) / float64(t.routeRequests[k.route]),
+			FirstMedianMs: quantile(g.firstMs, medianShare).Milliseconds(), First90Ms: quantile(g.firstMs, p90Share).Milliseconds(),
+			HeldMedianMs: quantile(g.heldMs, medianShare).Milliseconds(), Example: g.example,
 		})
 	}
 	slices.SortFunc(out, func(a, b Row) int {
@@ -71,13 +72,13 @@
 	return out
 }
 
-// The shares of requests whose times a table shows.
+// The quantiles of latencies in a row.
 const (
-	median = 0.5
-	most   = 0.9
+	medianShare = 0.5
+	p90Share    = 0.9
 )
 
-// Write writes rows with a heading, columns separated by tabs.
+// Write writes a heading and the rows, with columns separated by tabs.
 func Write(w io.Writer, rows []Row) error {
 	if _, err := fmt.Fprintln(w, "ROUTE\tCAUSE\tREQUESTS\tSHARE\tFIRST P50\tP90\tHELD P50\tEXAMPLE"); err != nil {
 		return err
--- a/internal/oper/print/doc.go
+++ b/internal/oper/print/doc.go
@@ -1,2 +1,2 @@
-// Package print writes what the operators' commands show: tables, JSON and YAML.
+// Package print formats the output of the operator commands as tables, JSON or YAML.
 package print
--- a/internal/oper/print/print.go
+++ b/internal/oper/print/print.go
@@ -23,18 +23,19 @@
 	YAML  = "yaml"
 )
 
-// UnknownFormat reports an output format that does not exist.
+// UnknownFormat reports an unsupported output format.
 type UnknownFormat struct {
 	Format string
 }
 
-// Error names the format and those that exist.
+// Error names the unknown format and the supported ones.
 func (u *UnknownFormat) Error() string {
 	return fmt.Sprintf("output format %q is none of table, json, yaml", u.Format)
 }
 
-// Value writes any value as JSON or YAML; for Table it calls rows.
-func Value(w io.Writer, format string, v any, rows func(io.Writer) error) error {
+// Write writes v as JSON or YAML. For Table it calls table, which writes lines with tab-separated columns.
+// It returns an *UnknownFormat for any other format.
+func Write(w io.Writer, format string, v any, table func(io.Writer) error) error {
 	switch format {
 	case JSON:
 		enc := json.NewEncoder(w)
@@ -44,7 +45,7 @@
 		return writeYAML(w, v)
 	case Table:
 		tabs := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
-		if err := rows(tabs); err != nil {
+		if err := table(tabs); err != nil {
 			return err
 		}
 		return tabs.Flush()
@@ -52,7 +53,7 @@
 	return &UnknownFormat{format}
 }
 
-// writeYAML writes a value in the order and with the names of its JSON form.
+// writeYAML writes a value as YAML with the field names and field order of its JSON encoding.
 func writeYAML(w io.Writer, v any) error {
 	data, err := json.Marshal(v)
 	if err != nil {
@@ -73,7 +74,7 @@
 	return err
 }
 
-// blockStyle clears the flow style that JSON is read with.
+// blockStyle sets block style for a node and its descendants; nodes parsed from JSON have flow style.
 func blockStyle(n *yaml.Node) {
 	n.Style = 0
 	for _, c := range n.Content {
@@ -81,78 +82,79 @@
 	}
 }
 
-// lines writes formatted lines and keeps the first error.
-type lines struct {
+// lineWriter writes formatted lines until the first error, which it keeps.
+type lineWriter struct {
 	w   io.Writer
 	err error
 }
 
-func (l *lines) add(format string, args ...any) {
+func (l *lineWriter) printf(format string, args ...any) {
 	if l.err == nil {
 		_, l.err = fmt.Fprintf(l.w, format+"\n", args...)
 	}
 }
 
-// Resources writes one line for each resource.
+// Resources returns a function that writes a table with one line for each resource.
 func Resources(list []kinds.Resource) func(io.Writer) error {
 	return func(w io.Writer) error {
-		l := &lines{w: w}
-		l.add("KIND\tNAME\tGENERATION\tREVISION")
+		l := &lineWriter{w: w}
+		l.printf("KIND\tNAME\tGENERATION\tREVISION")
 		for _, r := range list {
-			l.add("%s\t%s\t%d\t%d", r.Kind, r.Name, r.Generation, r.Revision)
+			l.printf("%s\t%s\t%d\t%d", r.Kind, r.Name, r.Generation, r.Revision)
 		}
 		return l.err
 	}
 }
 
-// Item writes a resource's conditions and replicas.
+// Item returns a function that writes the conditions and replicas of a resource as tables.
 func Item(i admin.Item) func(io.Writer) error {
 	return func(w io.Writer) error {
-		l := &lines{w: w}
-		l.add("KIND\tNAME\tGENERATION\tREVISION\tIN FORCE")
-		l.add("%s\t%s\t%d\t%d\t%d/%d", i.Resource.Kind, i.Resource.Name, i.Resource.Generation, i.Resource.Revision, i.Status.InForceOn, i.Status.Nodes)
-		l.add("")
-		l.add("CONDITION\tSTATUS\tREASON\tSINCE")
+		l := &lineWriter{w: w}
+		l.printf("KIND\tNAME\tGENERATION\tREVISION\tIN FORCE")
+		l.printf("%s\t%s\t%d\t%d\t%d/%d", i.Resource.Kind, i.Resource.Name, i.Resource.Generation, i.Resource.Revision, i.Status.InForceOn, i.Status.Nodes)
+		l.printf("")
+		l.printf("CONDITION\tSTATUS\tREASON\tSINCE")
 		for _, c := range i.Status.Conditions {
-			l.add("%s\t%t\t%s\t%s", c.Type, c.Status, c.Reason, clock(c.Since))
+			l.printf("%s\t%t\t%s\t%s", c.Type, c.Status, c.Reason, localTime(c.Since))
 		}
 		if len(i.Status.Replicas) > 0 {
-			l.add("")
-			l.add("ENDPOINT\tDOMAIN\tDECIDED\tSTATE\tRUNNING\tQUEUED\tLAST WAKE\tCOLD P99\tIDLE HOURS")
+			l.printf("")
+			l.printf("ENDPOINT\tDOMAIN\tDECIDED\tSTATE\tRUNNING\tQUEUED\tLAST WAKE\tCOLD P99\tIDLE HOURS")
 		}
 		for _, r := range i.Status.Replicas {
-			l.add("%s\t%s\t%s\t%s\t%d\t%d\t%s\t%s\t%.2f", r.Endpoint, r.Domain, r.Decision, state(r.State, r.Unreachable), r.Running, r.Queued,
-				clock(r.LastWake), r.ColdP99.Std().Round(time.Millisecond), r.IdleHours)
+			l.printf("%s\t%s\t%s\t%s\t%d\t%d\t%s\t%s\t%.2f", r.Endpoint, r.Domain, r.Decision, replicaState(r.State, r.Unreachable), r.Running, r.Queued,
+				localTime(r.LastWake), r.ColdP99.Std().Round(time.Millisecond), r.IdleHours)
 		}
 		return l.err
 	}
 }
 
-// Cluster writes the models, endpoints and nodes.
+// Cluster returns a function that writes the models, endpoints and nodes as tables.
 func Cluster(c admin.Cluster) func(io.Writer) error {
 	return func(w io.Writer) error {
-		l := &lines{w: w}
-		l.add("MODEL\tDECIDED\tLOADED\tLOADING\tWHERE\tLAST WAKE\tCOLD P99\tIDLE HOURS\tNOT READY")
+		l := &lineWriter{w: w}
+		l.printf("MODEL\tDECIDED\tLOADED\tLOADING\tWHERE\tLAST WAKE\tCOLD P99\tIDLE HOURS\tNOT READY")
 		for _, m := range c.Models {
-			where, wake, cold, idle := summary(m.Status)
-			l.add("%s\t%d\t%d\t%d\t%s\t%s\t%s\t%.2f\t%s", m.Name, m.Decided, m.Loaded, m.Loading, where, clock(wake), cold, idle, reason(m.Status))
+			where, wake, cold, idle := replicaSummary(m.Status)
+			l.printf("%s\t%d\t%d\t%d\t%s\t%s\t%s\t%.2f\t%s", m.Name, m.Decided, m.Loaded, m.Loading, where, localTime(wake), cold, idle, notReadyReason(m.Status))
 		}
-		l.add("")
-		l.add("ENDPOINT\tDOMAIN\tEPOCH\tMEMORY GB\tUSED GB\tQUEUED\tSTATE")
+		l.printf("")
+		l.printf("ENDPOINT\tDOMAIN\tEPOCH\tMEMORY GB\tUSED GB\tQUEUED\tSTATE")
 		for _, e := range c.Endpoints {
-			l.add("%s\t%s\t%d\t%.1f\t%.1f\t%d\t%s", e.Name, e.Domain, e.Epoch, gigabytes(e.MemoryBytes), gigabytes(e.UsedBytes), e.Queued, endpointState(e))
+			l.printf("%s\t%s\t%d\t%.1f\t%.1f\t%d\t%s", e.Name, e.Domain, e.Epoch, gibibytes(e.MemoryBytes), gibibytes(e.UsedBytes), e.Queued, endpointState(e))
 		}
-		l.add("")
-		l.add("NODE\tROLE\tDOMAIN\tREVISION IN FORCE (newest %d)", c.Revision)
+		l.printf("")
+		l.printf("NODE\tROLE\tDOMAIN\tREVISION IN FORCE (newest %d)", c.Revision)
 		for _, n := range c.Nodes {
-			l.add("%s\t%s\t%s\t%d", n.Name, n.Role, n.Domain, n.Revision)
+			l.printf("%s\t%s\t%s\t%d", n.Name, n.Role, n.Domain, n.Revision)
 		}
 		return l.err
 	}
 }
 
-// summary condenses a model's replicas.
-func summary(s admin.Status) (where string, wake time.Time, cold time.Duration, idle float64) {
+// replicaSummary returns the endpoints with a replica that is not dormant, the last wake, the highest 99th percentile
+// of cold starts and the total of idle hours over a model's replicas.
+func replicaSummary(s admin.Status) (where string, wake time.Time, cold time.Duration, idle float64) {
 	var places []string
 	for _, r := range s.Replicas {
 		if r.State != "Dormant" {
@@ -170,7 +172,8 @@
 	return strings.Join(places, ","), wake, cold.Round(time.Millisecond), idle
 }
 
-func reason(s admin.Status) string {
+// notReadyReason returns why a model is not ready, or "-" if it is.
+func notReadyReason(s admin.Status) string {
 	for _, c := range s.Conditions {
 		if c.Type == "Ready" && !c.Status {
 			return c.Reason
@@ -189,33 +192,34 @@
 	return "serving"
 }
 
-func state(s string, unreachable bool) string {
+func replicaState(s string, unreachable bool) string {
 	if unreachable {
 		return "unreachable"
 	}
 	return s
 }
 
-func gigabytes(n int64) float64 {
+func gibibytes(n int64) float64 {
 	return float64(n) / (1 << 30)
 }
 
-func clock(t time.Time) string {
+// localTime formats t in the local time zone. The zero time gives "-".
+func localTime(t time.Time) string {
 	if t.IsZero() {
 		return "-"
 	}
 	return t.Local().Format(time.DateTime)
 }
 
-// Audit writes one line for each record and one for each changed field.
+// Audit returns a function that writes a table with one line for each record and one for each changed field.
 func Audit(records []audit.Record) func(io.Writer) error {
 	return func(w io.Writer) error {
-		l := &lines{w: w}
-		l.add("TIME\tACTOR\tACTION\tKEY\tFROM\tTO")
+		l := &lineWriter{w: w}
+		l.printf("TIME\tACTOR\tACTION\tKEY\tFROM\tTO")
 		for _, r := range records {
-			l.add("%s\t%s\t%s\t%s\t%d\t%d", clock(r.Time), r.Actor, r.Action, r.Key, r.From, r.To)
+			l.printf("%s\t%s\t%s\t%s\t%d\t%d", localTime(r.Time), r.Actor, r.Action, r.Key, r.From, r.To)
 			for _, c := range r.Changes {
-				l.add("\t\t\t  %s: %s -> %s\t\t", c.Path, orDash(c.Old), orDash(c.New))
+				l.printf("\t\t\t  %s: %s -> %s\t\t", c.Path, orDash(c.Old), orDash(c.New))
 			}
 		}
 		return l.err
--- a/internal/oper/remote/client.go
+++ b/internal/oper/remote/client.go
@@ -18,28 +18,28 @@
 	"foxtailcroft/internal/entry/admin"
 )
 
-// Client calls the operators' API of any entry.
+// Client calls the operator API of an entry.
 type Client struct {
-	base  string
-	actor string
-	http  *http.Client
+	baseURL string
+	actor   string
+	http    *http.Client
 }
 
-// callTimeout bounds every call but a watch.
+// callTimeout bounds every call except a watch.
 const callTimeout = 20 * time.Second
 
-// New returns a client of the entry at base URL; actor names the operator in the audit trail.
-func New(base, actor string) *Client {
-	return &Client{base: strings.TrimRight(base, "/"), actor: actor, http: &http.Client{}}
+// New returns a client of the entry at baseURL. The audit trail records actor as the operator.
+func New(baseURL, actor string) *Client {
+	return &Client{baseURL: strings.TrimRight(baseURL, "/"), actor: actor, http: &http.Client{}}
 }
 
-// Problem is a refused call.
+// Problem reports a call that the entry refused, with the HTTP status.
 type Problem struct {
 	Status int
 	admin.Problem
 }
 
-// Error quotes the API.
+// Error returns the HTTP status and the API's error text.
 func (p *Problem) Error() string {
 	return fmt.Sprintf("refused with status %d: %s", p.Status, p.Problem.Error)
 }
@@ -56,11 +56,12 @@
 	return out, c.call(ctx, http.MethodGet, "/admin/v1/"+string(kind), nil, nil, &out)
 }
 
-// Write says how a change is made.
+// Write holds the options of a change.
 type Write struct {
 	// Revision is the revision that the resource must be at; nil for any.
 	Revision *int64
-	DryRun   bool
+	// DryRun asks for validation without a change.
+	DryRun bool
 }
 
 func (w Write) header() http.Header {
@@ -78,7 +79,7 @@
 	return ""
 }
 
-// Put creates or changes a resource.
+// Put creates or updates a resource and returns it as stored.
 func (c *Client) Put(ctx context.Context, r kinds.Resource, w Write) (kinds.Resource, error) {
 	var out admin.Item
 	err := c.call(ctx, http.MethodPut, "/admin/v1/"+string(r.Kind)+"/"+url.PathEscape(r.Name)+w.query(), w.header(), r, &out)
@@ -90,13 +91,13 @@
 	return c.call(ctx, http.MethodDelete, "/admin/v1/"+string(kind)+"/"+url.PathEscape(name)+w.query(), w.header(), nil, nil)
 }
 
-// Cluster returns the state of everything.
+// Cluster returns the state of all models, endpoints and nodes.
 func (c *Client) Cluster(ctx context.Context) (admin.Cluster, error) {
 	var out admin.Cluster
 	return out, c.call(ctx, http.MethodGet, "/admin/v1/Status", nil, nil, &out)
 }
 
-// Audit returns the audit records since a time whose key has a prefix.
+// Audit returns the audit records whose key has the prefix. A zero since returns records of all times.
 func (c *Client) Audit(ctx context.Context, since time.Time, prefix string) ([]audit.Record, error) {
 	q := url.Values{"prefix": {prefix}}
 	if !since.IsZero() {
@@ -107,7 +108,8 @@
 	return out.Records, err
 }
 
-// Watch calls fn for each change of a kind after a revision, until the context or the stream ends.
+// Watch calls fn for each change of a kind after the given revision, until fn fails or the context or the stream ends.
+// It always returns an error.
 func (c *Client) Watch(ctx context.Context, kind kinds.Kind, after int64, fn func(admin.Event) error) error {
 	resp, err := c.send(ctx, http.MethodGet, fmt.Sprintf("/admin/v1/%s?watch=true&revision=%d", kind, after), nil, nil)
 	if err != nil {
@@ -126,7 +128,7 @@
 	}
 }
 
-// call makes one call and decodes its answer.
+// call makes one call and decodes the response body into out, unless out is nil.
 func (c *Client) call(ctx context.Context, method, path string, header http.Header, body, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -141,10 +143,10 @@
 	return json.NewDecoder(resp.Body).Decode(out)
 }
 
-// maxProblem bounds the body of a refusal.
-const maxProblem = 1 << 20
+// maxProblemBytes bounds the response body read from a refused call.
+const maxProblemBytes = 1 << 20
 
-// send makes one call and turns refusals into a *Problem.
+// send makes one call. It returns a *Problem for any status other than 200 and a *fault.Away if the entry is unreachable.
 func (c *Client) send(ctx context.Context, method, path string, header http.Header, body any) (*http.Response, error) {
 	var data []byte
 	if body != nil {
@@ -153,7 +155,7 @@
 			return nil, err
 		}
 	}
-	req, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(data))
+	req, err := http.NewRequestWithContext(ctx, method, c.baseURL+path, bytes.NewReader(data))
 	if err != nil {
 		return nil, err
 	}
@@ -170,7 +172,7 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	p := &Problem{Status: resp.StatusCode}
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxProblem)).Decode(&p.Problem); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxProblemBytes)).Decode(&p.Problem); err != nil {
 		p.Problem.Error = resp.Status
 	}
 	return nil, p
--- a/internal/oper/remote/doc.go
+++ b/internal/oper/remote/doc.go
@@ -1,2 +1,2 @@
-// Package remote is the client of the operators' API.
+// Package remote is a client of the operator API of entries.
 package remote
