--- a/cmd/foxtailcroft/audit.go
+++ b/cmd/foxtailcroft/audit.go
@@ -26,7 +26,7 @@
 			if err != nil {
 				return err
 			}
-			return print.Write(cmd.OutOrStdout(), flags.output, records, print.Audit(records))
+			return print.Render(cmd.OutOrStdout(), flags.output, records, print.Audit(records))
 		},
 	}
 	flags.register(cmd, print.Table)
--- a/cmd/foxtailcroft/causes.go
+++ b/cmd/foxtailcroft/causes.go
@@ -23,7 +23,7 @@
 				return err
 			}
 			rows := t.Rows()
-			return print.Write(cmd.OutOrStdout(), output, rows, func(w io.Writer) error { return cause.Write(w, rows) })
+			return print.Render(cmd.OutOrStdout(), output, rows, func(w io.Writer) error { return cause.Write(w, rows) })
 		},
 	}
 	cmd.Flags().StringVarP(&output, "output", "o", print.Table, "table, json or yaml")
--- a/cmd/foxtailcroft/config.go
+++ b/cmd/foxtailcroft/config.go
@@ -14,11 +14,11 @@
 
 func configCommand() *cobra.Command {
 	cmd := &cobra.Command{Use: "config", Short: "Validate settings and resource files, or print example settings"}
-	cmd.AddCommand(configCheck(), configExample())
+	cmd.AddCommand(configCheckCommand(), configExampleCommand())
 	return cmd
 }
 
-func configCheck() *cobra.Command {
+func configCheckCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check FILE...",
 		Short: "Validate resource files and the settings files of entries, agents and the platform",
@@ -65,7 +65,7 @@
 	return bytes.HasPrefix(data, field) || bytes.Contains(data, append([]byte("\n"), field...))
 }
 
-func configExample() *cobra.Command {
+func configExampleCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:       "example ROLE",
 		Short:     "Print example settings for a role",
--- a/cmd/foxtailcroft/front.go
+++ b/cmd/foxtailcroft/front.go
@@ -115,20 +115,20 @@
 func openListeners(ctx context.Context, l conf.FrontListen) (front.Listeners, error) {
 	var out front.Listeners
 	config := net.ListenConfig{KeepAliveConfig: conns.KeepAlive, Control: conns.Control}
-	for _, x := range []struct {
+	for _, spec := range []struct {
 		name, address string
 		dest          *net.Listener
 	}{
 		{"callers", l.Callers, &out.Callers}, {"ready", l.Ready, &out.Ready}, {"peers", l.Peers, &out.Peers}, {"metrics", l.Metrics, &out.Metrics},
 	} {
-		if x.address == "" {
+		if spec.address == "" {
 			continue
 		}
-		lis, err := config.Listen(ctx, "tcp4", x.address)
+		lis, err := config.Listen(ctx, "tcp4", spec.address)
 		if err != nil {
-			return out, eris.Wrapf(err, "listener for %s", x.name)
+			return out, eris.Wrapf(err, "listener for %s", spec.name)
 		}
-		*x.dest = lis
+		*spec.dest = lis
 	}
 	return out, nil
 }
--- a/cmd/foxtailcroft/get.go
+++ b/cmd/foxtailcroft/get.go
@@ -45,11 +45,11 @@
 		if err != nil {
 			return err
 		}
-		return print.Write(cmd.OutOrStdout(), flags.output, list, print.Resources(list.Items))
+		return print.Render(cmd.OutOrStdout(), flags.output, list, print.Resources(list.Items))
 	}
 	item, err := flags.client().Get(cmd.Context(), kind, args[1])
 	if err != nil {
 		return err
 	}
-	return print.Write(cmd.OutOrStdout(), flags.output, item, print.Item(item))
+	return print.Render(cmd.OutOrStdout(), flags.output, item, print.Item(item))
 }
--- a/cmd/foxtailcroft/measure.go
+++ b/cmd/foxtailcroft/measure.go
@@ -45,7 +45,7 @@
 			if err := writePlot(plot, site, rows); err != nil {
 				return err
 			}
-			return print.Write(cmd.OutOrStdout(), output, rows, func(w io.Writer) error { return emul.Write(w, rows) })
+			return print.Render(cmd.OutOrStdout(), output, rows, func(w io.Writer) error { return emul.Write(w, rows) })
 		},
 	}
 	cmd.Flags().StringVar(&site, "site", "spares", "example site to emulate: spares or blankets")
--- a/cmd/foxtailcroft/status.go
+++ b/cmd/foxtailcroft/status.go
@@ -46,7 +46,7 @@
 				return err
 			}
 		}
-		if err := print.Write(out, flags.output, cluster, print.Cluster(cluster)); err != nil || !watch {
+		if err := print.Render(out, flags.output, cluster, print.Cluster(cluster)); err != nil || !watch {
 			return err
 		}
 		if !pause.For(cmd.Context(), statusRefreshInterval) {
--- a/internal/oper/cause/line.go
+++ b/internal/oper/cause/line.go
@@ -96,12 +96,12 @@
 
 // Classify returns the cause of a request. A broken stream or an unknown outcome gives BrokenOff.
 func Classify(l RequestLine) Cause {
-	held := float64(l.HeldMs) > minModelWaitShare*float64(max(l.FirstMs, l.Ms))
+	mostlyWaited := float64(l.HeldMs) > minModelWaitShare*float64(max(l.FirstMs, l.Ms))
 	switch l.Outcome {
 	case "answered":
 		return classifyAnswered(l)
 	case "caller left", "answered, caller left", "refused, caller left", "failed, caller left":
-		if held && l.HeldMs > 0 {
+		if mostlyWaited && l.HeldMs > 0 {
 			return CallerLeftWaiting
 		}
 		return CallerLeft
--- a/internal/oper/print/print.go
+++ b/internal/oper/print/print.go
@@ -33,9 +33,9 @@
 	return fmt.Sprintf("output format %q is none of table, json, yaml", u.Format)
 }
 
-// Write writes v as JSON or YAML. For Table it calls table, which writes lines with tab-separated columns.
+// Render writes v as JSON or YAML. For Table it calls table, which writes lines with tab-separated columns.
 // It returns an *UnknownFormat for any other format.
-func Write(w io.Writer, format string, v any, table func(io.Writer) error) error {
+func Render(w io.Writer, format string, v any, table func(io.Writer) error) error {
 	switch format {
 	case JSON:
 		enc := json.NewEncoder(w)
