--- a/internal/agent/gate/gate.go
+++ b/internal/agent/gate/gate.go
@@ -77,8 +77,8 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	l := g.loadLocked()
-	wait := pick.Forecast(pick.Replica{Loaded: true, Running: l.Running, Queued: l.Queued, Capacity: l.Capacity, Service: l.Service})
-	if !pick.InTime(wait, l.Service, w.Deadline.Sub(now)) {
+	wait := pick.ForecastWait(pick.Replica{Loaded: true, Running: l.Running, Queued: l.Queued, Capacity: l.Capacity, ServiceTime: l.Service})
+	if !pick.MeetsDeadline(wait, l.Service, w.Deadline.Sub(now)) {
 		return fault.NotRun(fault.DeadlineTooSoon, "service %q is expected to answer in %s", g.service, (wait + l.Service).Round(time.Millisecond)).WithRetryAfter(wait)
 	}
 	if !g.queued.Push(w, now) {
--- a/internal/agent/slots/acquire.go
+++ b/internal/agent/slots/acquire.go
@@ -107,7 +107,7 @@
 // recordArrival updates the arrival statistics for a request that has just been queued.
 func (r *replica) recordArrival(now time.Time, loadTime time.Duration) {
 	idle := r.running == 0 && r.queue.Len() == 1
-	r.coldWaits.Arrived(now, idle, loadTime)
+	r.coldWaits.Arrival(now, idle, loadTime)
 	if idle && !r.lastRequestEnd.IsZero() {
 		r.idleGaps.Observe(now.Sub(r.lastRequestEnd))
 	}
@@ -153,12 +153,12 @@
 // redirects one for which adding another replica is quicker than queueing here.
 func (m *Manager) checkForecast(req Request, spec kinds.ModelSpec, r *replica, redirect string, now time.Time) error {
 	load := m.replicaLoad(r, spec)
-	replicaState := pick.Replica{Loaded: load.Loaded, Running: load.Running, Queued: load.Queued, Capacity: load.Capacity, Service: load.Service, Cold: m.remainingLoadTime(r, load.Cold, now)}
-	wait := pick.Forecast(replicaState)
-	if load.Loaded && redirect != "" && pick.Widen(load.Queued+1, load.Capacity, load.Service, load.Cold) {
+	replicaState := pick.Replica{Loaded: load.Loaded, Running: load.Running, Queued: load.Queued, Capacity: load.Capacity, ServiceTime: load.Service, ColdStart: m.remainingLoadTime(r, load.Cold, now)}
+	wait := pick.ForecastWait(replicaState)
+	if load.Loaded && redirect != "" && pick.ShouldForward(load.Queued+1, load.Capacity, load.Service, load.Cold) {
 		return fault.NotRun(fault.Overloaded, "queue of model %q at endpoint %q is long", req.Model, m.settings.Node).WithEndpoint(redirect)
 	}
-	if !pick.InTime(wait, load.Service, req.Deadline.Sub(now)) {
+	if !pick.MeetsDeadline(wait, load.Service, req.Deadline.Sub(now)) {
 		return fault.NotRun(fault.DeadlineTooSoon, "model %q is expected to answer in %s, the deadline is in %s",
 			req.Model, (wait + load.Service).Round(time.Millisecond), req.Deadline.Sub(now).Round(time.Millisecond)).WithRetryAfter(wait).WithEndpoint(redirect)
 	}
--- a/internal/agent/slots/reconcile.go
+++ b/internal/agent/slots/reconcile.go
@@ -10,7 +10,7 @@
 	"foxtailcroft/internal/core/plan"
 	"foxtailcroft/internal/core/view"
 	"foxtailcroft/internal/policy/evict"
-	"foxtailcroft/internal/policy/keep"
+	"foxtailcroft/internal/policy/idle"
 )
 
 // reconcile starts the loads, unloads and requests that the view, the queues and the time call for.
@@ -106,7 +106,7 @@
 		return true
 	}
 	policy := v.Policy(r.spec.Policy)
-	keepAlive := keep.Alive(&r.idleGaps, keep.Costs{ColdWait: r.coldWaits.Wait(m.expectedLoadTime(r)), Price: policy.ColdStartPrice, Max: policy.MaxKeepAlive.Std()})
+	keepAlive := idle.KeepAlive(&r.idleGaps, idle.Costs{ColdWait: r.coldWaits.Wait(m.expectedLoadTime(r)), ColdStartPrice: policy.ColdStartPrice, MaxKeepAlive: policy.MaxKeepAlive.Std()})
 	return now.Sub(r.lastRequestEnd) < keepAlive
 }
 
@@ -307,7 +307,7 @@
 		}
 		out = append(out, evict.Candidate{
 			Name: r.name.Model, Bytes: bytes, ColdStart: m.expectedLoadTime(r), LastUsed: r.idleSince,
-			WantedSoon: r.idleGaps.ShareWithin(now.Sub(r.idleSince), reuseHorizon),
+			ReuseProbability: r.idleGaps.ShareWithin(now.Sub(r.idleSince), reuseHorizon),
 		})
 	}
 	return append(out, m.adapterCandidates(exclude)...)
@@ -323,7 +323,7 @@
 		}
 		for name, a := range r.adapters {
 			if a.phase == loaded && a.running == 0 && !m.adapterQueued(r, name) {
-				out = append(out, evict.Candidate{Name: r.name.Model + adapterSeparator + name, Bytes: a.bytes, ColdStart: a.meanLoadTime, LastUsed: a.idleSince, WantedSoon: 1})
+				out = append(out, evict.Candidate{Name: r.name.Model + adapterSeparator + name, Bytes: a.bytes, ColdStart: a.meanLoadTime, LastUsed: a.idleSince, ReuseProbability: 1})
 			}
 		}
 	}
--- a/internal/entry/calls/dispatch.go
+++ b/internal/entry/calls/dispatch.go
@@ -82,7 +82,7 @@
 // Do dispatches a request until it is answered or refused. The error is nil if
 // the sink received a whole answer, else a *fault.Refusal.
 func (d *Dispatcher) Do(ctx context.Context, req Request, sink Sink) (Result, error) {
-	settleMargin := retry.Margin(time.Until(req.Deadline))
+	settleMargin := retry.DeadlineMargin(time.Until(req.Deadline))
 	ctx, cancel := context.WithDeadline(ctx, req.Deadline.Add(-settleMargin))
 	defer cancel()
 	d.earnRetryBudget()
--- a/internal/entry/placer/endpoints.go
+++ b/internal/entry/placer/endpoints.go
@@ -39,7 +39,7 @@
 // addPromised adds bytes to the memory promised on an endpoint, if the set has it.
 func (set *endpointSet) addPromised(endpoint string, bytes int64) {
 	if e := set.byName[endpoint]; e != nil {
-		e.Promised += bytes
+		e.ReservedBytes += bytes
 	}
 }
 
@@ -48,15 +48,15 @@
 
 // chooseEndpoint returns the endpoint for one more slot of a model, or false if none fits.
 func (set *endpointSet) chooseEndpoint(m kinds.Resource, p plan.Plan) (place.Endpoint, bool) {
-	need := place.Need{Model: m.Name, Bytes: m.Model.MemoryBytes, Domains: m.Model.Domains}
+	need := place.Request{Model: m.Name, Bytes: m.Model.MemoryBytes, AllowedDomains: m.Model.Domains}
 	for _, s := range p.Slots {
-		need.Taken = append(need.Taken, s.Domain)
-		need.Used = append(need.Used, s.Endpoint)
+		need.UsedDomains = append(need.UsedDomains, s.Domain)
+		need.UsedEndpoints = append(need.UsedEndpoints, s.Endpoint)
 	}
 	candidates := make([]place.Endpoint, 0, len(set.byName))
 	for name, e := range set.byName {
 		candidate := *e
-		candidate.Near = cacheTierRanks[set.cacheTiers[name][m.Name]]
+		candidate.CheckpointTier = cacheTierRanks[set.cacheTiers[name][m.Name]]
 		candidates = append(candidates, candidate)
 	}
 	return place.Choose(need, candidates)
--- a/internal/front/orders/execute.go
+++ b/internal/front/orders/execute.go
@@ -40,10 +40,10 @@
 	}
 	began := time.Now()
 	p.mu.Lock()
-	s.readyAt = began.Add(a.Takes)
+	s.readyAt = began.Add(a.ReadyIn)
 	concurrent := p.activeStoreLoads()
 	p.mu.Unlock()
-	if p.awaitAnnouncement(ctx, s, a.Load, a.Takes) || p.pollUntil(ctx, s, maxOverrun, func() bool { return s.models[a.Load] != nil }) {
+	if p.awaitAnnouncement(ctx, s, a.Load, a.ReadyIn) || p.pollUntil(ctx, s, maxOverrun, func() bool { return s.models[a.Load] != nil }) {
 		p.recordStoreLoad(s, a, concurrent, time.Since(began))
 	}
 }
@@ -57,9 +57,9 @@
 	if a.Source != swap.FromStore || engine == nil || engine.Model(a.Load) == nil || s.models[a.Load] == nil {
 		return
 	}
-	concurrencyBefore := p.storeConcurrency.AtOnce()
-	p.storeConcurrency = p.storeConcurrency.Ended(max(concurrent, p.activeStoreLoads()), took, engine.Model(a.Load).FromStore)
-	p.log.Infow("load from the store ended", "Instance", s.inst.ID, "Model", a.Load, "Took", took.String(), "Beside", concurrent, "AtOnceBefore", concurrencyBefore, "AtOnce", p.storeConcurrency.AtOnce())
+	concurrencyBefore := p.storeConcurrency.Limit()
+	p.storeConcurrency = p.storeConcurrency.Observe(max(concurrent, p.activeStoreLoads()), took, engine.Model(a.Load).FromStore)
+	p.log.Infow("load from the store ended", "Instance", s.inst.ID, "Model", a.Load, "Took", took.String(), "Beside", concurrent, "AtOnceBefore", concurrencyBefore, "AtOnce", p.storeConcurrency.Limit())
 }
 
 // awaitAnnouncement waits until the server announces the model, which it does as
--- a/internal/front/orders/planner.go
+++ b/internal/front/orders/planner.go
@@ -15,7 +15,7 @@
 	"foxtailcroft/internal/core/site"
 	"foxtailcroft/internal/front/peers"
 	"foxtailcroft/internal/plat/follow"
-	"foxtailcroft/internal/policy/pace"
+	"foxtailcroft/internal/policy/loads"
 )
 
 const (
@@ -85,7 +85,7 @@
 	storeLoadStarts []time.Time
 	// storeConcurrency estimates how many loads from the weight store run at full
 	// speed concurrently.
-	storeConcurrency pace.Loads
+	storeConcurrency loads.Concurrency
 	cachedLoads      []peers.Load
 	cachedLoadsAt    time.Time
 	// wakeup triggers the next planning step.
@@ -169,7 +169,7 @@
 		p.adaptersLoading = map[site.Adapter]bool{}
 		p.demand = newDemand()
 		// The previous planner may just have started as many loads as may run concurrently.
-		p.storeLoadStarts = slices.Repeat([]time.Time{p.leadingSince}, p.storeConcurrency.AtOnce())
+		p.storeLoadStarts = slices.Repeat([]time.Time{p.leadingSince}, p.storeConcurrency.Limit())
 	}
 	return p.settings.ChecksFence || time.Since(p.leadingSince) >= p.settings.TurnGap
 }
--- a/internal/front/orders/planner_test.go
+++ b/internal/front/orders/planner_test.go
@@ -21,7 +21,7 @@
 	"foxtailcroft/internal/front/peers"
 	"foxtailcroft/internal/plat/follow"
 	"foxtailcroft/internal/plat/store"
-	"foxtailcroft/internal/policy/pace"
+	"foxtailcroft/internal/policy/loads"
 	"foxtailcroft/internal/standin/platf"
 	"foxtailcroft/platform"
 	"foxtailcroft/platform/mimic"
@@ -333,12 +333,12 @@
 		g := NewWithT(t)
 		engine := &site.Engine{LoadsPerSecond: 2.1}
 		const window = 5 * time.Second
-		p := &Planner{settings: Settings{LoadWindow: window}, storeConcurrency: pace.Known(4), servers: map[site.Key]*server{}}
+		p := &Planner{settings: Settings{LoadWindow: window}, storeConcurrency: loads.FromEstimate(4), servers: map[site.Key]*server{}}
 		var begun []time.Time
 		for i := range 400 {
 			if i%150 == 149 {
 				p = &Planner{settings: p.settings, storeConcurrency: p.storeConcurrency, servers: map[site.Key]*server{}}
-				p.storeLoadStarts = slices.Repeat([]time.Time{time.Now()}, p.storeConcurrency.AtOnce())
+				p.storeLoadStarts = slices.Repeat([]time.Time{time.Now()}, p.storeConcurrency.Limit())
 			}
 			if p.storeLoadsAllowed(engine, time.Now()) > 0 {
 				p.storeLoadStarts = append(p.storeLoadStarts, time.Now())
--- a/internal/front/orders/server.go
+++ b/internal/front/orders/server.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"foxtailcroft/internal/core/site"
-	"foxtailcroft/internal/policy/fade"
+	"foxtailcroft/internal/policy/decay"
 )
 
 // server is the planner's view of one incarnation of a model server. All fields
@@ -34,7 +34,7 @@
 	requests   int
 	reportedAt time.Time
 	// pausePeak is the longest pause between two events of a stream, decaying over time.
-	pausePeak fade.Peak
+	pausePeak decay.Peak
 	// loadingModel is the model that the swap in progress loads, empty if none, and
 	// readyAt when it is expected to be ready.
 	loadingModel string
--- a/internal/front/orders/step.go
+++ b/internal/front/orders/step.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"foxtailcroft/internal/core/site"
-	"foxtailcroft/internal/policy/choose"
+	"foxtailcroft/internal/policy/score"
 	"foxtailcroft/internal/policy/swap"
 )
 
@@ -59,9 +59,9 @@
 		return
 	}
 	now := time.Now()
-	in := swap.Input{Engine: engine, Wants: mergeWants(wants), Demand: p.demand.byModel(now), StoreLoads: p.storeLoadsAllowed(engine, now), Loading: p.activeStoreLoads(), AtOnce: p.storeConcurrency.AtOnce(), Keep: !p.evictionAllowed(now)}
+	in := swap.Input{Engine: engine, Wants: mergeWants(wants), Demand: p.demand.byModel(now), StoreLoadsLeft: p.storeLoadsAllowed(engine, now), StoreLoadsRunning: p.activeStoreLoads(), StoreConcurrency: p.storeConcurrency.Limit(), Conservative: !p.evictionAllowed(now)}
 	if !p.demandKnown(now) {
-		in.StoreLoads = 0
+		in.StoreLoadsLeft = 0
 	}
 	for _, s := range p.servers {
 		if s.inst.Service == service && !s.inst.Leaving {
@@ -70,17 +70,17 @@
 	}
 	slices.SortFunc(in.Servers, func(a, b swap.Server) int { return strings.Compare(a.ID, b.ID) })
 	for _, a := range swap.Decide(in) {
-		if a.Later {
-			p.expectedReady[a.Load] = now.Add(a.Takes)
+		if a.Deferred {
+			p.expectedReady[a.Load] = now.Add(a.ReadyIn)
 			continue
 		}
 		s := p.serverByID(a.Server)
-		s.reserved, s.loadingModel, s.evicting, s.readyAt = true, a.Load, a.Evict, now.Add(a.Takes)
+		s.reserved, s.loadingModel, s.evicting, s.readyAt = true, a.Load, a.Evict, now.Add(a.ReadyIn)
 		if a.Source == swap.FromStore {
 			p.storeLoadStarts = append(p.storeLoadStarts, now)
 			p.storeLoadsTotal.Inc()
 		}
-		p.log.Infow("swap", "Instance", a.Server, "Load", a.Load, "Evict", a.Evict, "Source", int(a.Source), "Takes", a.Takes.String(), "Sequence", s.sequence, "Fence", p.fence)
+		p.log.Infow("swap", "Instance", a.Server, "Load", a.Load, "Evict", a.Evict, "Source", int(a.Source), "Takes", a.ReadyIn.String(), "Sequence", s.sequence, "Fence", p.fence)
 		p.group.Go(func() { p.executeSwap(ctx, s, a) })
 	}
 }
@@ -104,8 +104,8 @@
 // policyView returns a server as input for the swap policy.
 func (p *Planner) policyView(s *server, now time.Time) swap.Server {
 	v := swap.Server{
-		ID: s.inst.ID, Engaged: !s.available(), FreeIn: s.availableIn(now), Awaited: s.loadingModel, OnDisk: s.onDisk, InMemory: s.inMemory,
-		Slow: choose.Risk(s.pausePeak.Value(now), p.strictestMaxGap(s.inst.Service)),
+		ID: s.inst.ID, Busy: !s.available(), FreeIn: s.availableIn(now), Loading: s.loadingModel, OnDisk: s.onDisk, InMemory: s.inMemory,
+		PauseRisk: score.PauseRisk(s.pausePeak.Value(now), p.strictestMaxGap(s.inst.Service)),
 	}
 	for _, name := range s.modelNames() {
 		if slices.Contains(s.evicting, name) {
@@ -163,7 +163,7 @@
 func (p *Planner) storeLoadsAllowed(e *site.Engine, now time.Time) int {
 	p.storeLoadStarts = slices.DeleteFunc(p.storeLoadStarts, func(t time.Time) bool { return now.Sub(t) > p.settings.LoadWindow })
 	rateAllowance := int(e.LoadsPerSecond*p.settings.LoadWindow.Seconds()) - len(p.storeLoadStarts)
-	return max(0, min(rateAllowance, p.storeConcurrency.AtOnce()-p.activeStoreLoads()))
+	return max(0, min(rateAllowance, p.storeConcurrency.Limit()-p.activeStoreLoads()))
 }
 
 // adapterLoadTime is the expected duration of an adapter load; requests are sent only
--- a/internal/front/orders/usage.go
+++ b/internal/front/orders/usage.go
@@ -8,7 +8,7 @@
 
 	"foxtailcroft/internal/core/site"
 	"foxtailcroft/internal/front/peers"
-	"foxtailcroft/internal/policy/pace"
+	"foxtailcroft/internal/policy/loads"
 )
 
 // maxLoggedModels bounds the models that the demand log line lists.
@@ -33,7 +33,7 @@
 		}
 	}
 	for m, d := range p.demand.byModel(time.Now()) {
-		list = append(list, modelDemand{m, math.Round(d.Rate*10) / 10, d.Each.Milliseconds(), d.Adapters, copies[m]})
+		list = append(list, modelDemand{m, math.Round(d.Rate*10) / 10, d.PrefillTime.Milliseconds(), d.ActiveAdapters, copies[m]})
 	}
 	slices.SortFunc(list, func(a, b modelDemand) int { return cmp.Or(cmp.Compare(b.Rate, a.Rate), cmp.Compare(a.Model, b.Model)) })
 	p.log.Infow("demand", "Models", len(list), "Busiest", list[:min(maxLoggedModels, len(list))], "Wants", len(p.wants), "Servers", len(p.servers))
@@ -59,13 +59,13 @@
 	p.usageByFront[u.Front] = report
 	for _, x := range u.Pauses {
 		if s := p.servers[x.Instance]; s != nil {
-			s.pausePeak = s.pausePeak.With(x.Longest, now)
+			s.pausePeak = s.pausePeak.Add(x.Longest, now)
 		}
 	}
 	for _, a := range u.Asked {
 		p.demand.add(a.Target, a.Requests, now)
 	}
-	return peers.PlannerStatus{StoreLoads: p.storeConcurrency.AtOnce(), Loads: p.busiestServers(now), Pending: p.pendingLoads(now)}
+	return peers.PlannerStatus{StoreLoads: p.storeConcurrency.Limit(), Loads: p.busiestServers(now), Pending: p.pendingLoads(now)}
 }
 
 // busiestServers returns the load of the maxListedServers servers with the most
@@ -106,8 +106,8 @@
 func (p *Planner) Learn(status peers.PlannerStatus) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.storeConcurrency.AtOnce() != status.StoreLoads && status.StoreLoads > 0 {
-		p.storeConcurrency = pace.Known(status.StoreLoads)
+	if p.storeConcurrency.Limit() != status.StoreLoads && status.StoreLoads > 0 {
+		p.storeConcurrency = loads.FromEstimate(status.StoreLoads)
 	}
 	now := time.Now()
 	p.inheritedLoads = map[site.Key]inheritedLoad{}
--- a/internal/front/relay/pick.go
+++ b/internal/front/relay/pick.go
@@ -7,13 +7,13 @@
 
 	"foxtailcroft/internal/back/conns"
 	"foxtailcroft/internal/core/site"
-	"foxtailcroft/internal/policy/choose"
+	"foxtailcroft/internal/policy/score"
 )
 
 // choice is a chosen instance with the estimates that decided for it.
 type choice struct {
 	site.Instance
-	choose.Candidate
+	score.Candidate
 	// candidateCount is the number of instances that could have been chosen.
 	candidateCount int
 	// reportedLoadAge is the age of the instance's newest load report, 0 if there is none.
@@ -30,20 +30,20 @@
 		s := t.statsOf(in.Key)
 		return now.Sub(s.absentAt[r.Target]) < absenceValidity || now.Before(s.excludedUntil)
 	})
-	var candidates []choose.Candidate
+	var candidates []score.Candidate
 	for _, in := range list {
 		s := t.statsOf(in.Key)
-		c := choose.Candidate{
-			ID: in.ID, Near: in.Domain == domain, Connected: connected(conns.Target{Key: in.Key, Address: in.Address}), Slots: in.Slots, InFlight: s.totalInFlight, Reading: s.pendingPrefill,
-			Missing: t.prefillSpeeds[r.Target.Model].Time(s.uncachedTokens(r)), LongRead: choose.LongRead(maxGap), Failing: s.currentFailureShare(now), Answers: s.meanAnswerTime,
-			PauseRisk: choose.Risk(s.longestPause.Value(now), maxGap),
+		c := score.Candidate{
+			ID: in.ID, SameDomain: in.Domain == domain, Connected: connected(conns.Target{Key: in.Key, Address: in.Address}), Slots: in.Slots, InFlight: s.totalInFlight, PendingPrefill: s.pendingPrefill,
+			MissingPrefill: t.prefillSpeeds[r.Target.Model].Duration(s.uncachedTokens(r)), LongPrefill: score.LongPrefill(maxGap), FailureShare: s.currentFailureShare(now), TimeToAnswer: s.meanAnswerTime,
+			PauseRisk: score.PauseRisk(s.longestPause.Value(now), maxGap),
 		}
 		if now.Sub(s.reportedAt) < reportedLoadValidity {
 			c.Reported = s.reportedRequests
 		}
 		candidates = append(candidates, c)
 	}
-	i := choose.Best(candidates, rand.Float64)
+	i := score.Best(candidates, rand.Float64)
 	if i < 0 {
 		return choice{}, false
 	}
--- a/internal/front/relay/server.go
+++ b/internal/front/relay/server.go
@@ -68,14 +68,14 @@
 	stopTime atomic.Pointer[time.Time]
 	mu       sync.Mutex
 	// retryBudgets are this front's shares of the retry budgets, by service.
-	retryBudgets map[string]retry.Share
+	retryBudgets map[string]retry.BudgetShare
 }
 
 // New returns a server without statistics of instances and with full retry budgets.
 func New(settings conf.Front, stateSource StateSource, pool *conns.Pool, d Dialect, finder InstanceFinder, meters *metrics.Set, log *zap.SugaredLogger) *Server {
 	return &Server{
 		settings: settings, stateSource: stateSource, pool: pool, dialect: d, finder: finder, tracker: newInstanceTracker(),
-		log: log, meters: meters, retryBudgets: map[string]retry.Share{},
+		log: log, meters: meters, retryBudgets: map[string]retry.BudgetShare{},
 	}
 }
 
@@ -205,10 +205,10 @@
 const budgetSharesPerFront = 2
 
 // retryBudget returns a service's retry budget, a new one at first; the caller holds the lock.
-func (s *Server) retryBudget(service string) retry.Share {
+func (s *Server) retryBudget(service string) retry.BudgetShare {
 	b, ok := s.retryBudgets[service]
 	if !ok {
-		b = retry.NewShare(s.settings.Retry.Ratio, s.settings.Retry.Slack, budgetSharesPerFront*max(1, len(s.stateSource.State().Fronts)))
+		b = retry.NewBudgetShare(s.settings.Retry.Ratio, s.settings.Retry.Slack, budgetSharesPerFront*max(1, len(s.stateSource.State().Fronts)))
 	}
 	return b
 }
--- a/internal/front/relay/tracker.go
+++ b/internal/front/relay/tracker.go
@@ -7,7 +7,7 @@
 
 	"foxtailcroft/internal/core/site"
 	"foxtailcroft/internal/front/peers"
-	"foxtailcroft/internal/policy/fade"
+	"foxtailcroft/internal/policy/decay"
 	"foxtailcroft/internal/policy/speed"
 )
 
@@ -31,9 +31,9 @@
 	// newRequests counts the requests since the last usage report.
 	newRequests map[site.Adapter]float64
 	// recentRequests are decaying counts of requests, reported to a new planner.
-	recentRequests map[site.Adapter]fade.Count
+	recentRequests map[site.Adapter]decay.Count
 	// prefillSpeeds are the learned prefill speeds by model.
-	prefillSpeeds map[string]speed.Reading
+	prefillSpeeds map[string]speed.Prefill
 }
 
 // instanceStats is what this front knows of one instance.
@@ -55,7 +55,7 @@
 	// meanAnswerTime is the moving average of the time until a buffered answer begins.
 	meanAnswerTime time.Duration
 	// longestPause is the decaying longest pause between events of streams, other fronts' streams included.
-	longestPause fade.Peak
+	longestPause decay.Peak
 	// newLongestPause is the longest pause in this front's streams since the last usage report, 0 if none was recorded.
 	newLongestPause time.Duration
 	// promptParts are the prompt parts sent to the instance, with the time of the last use.
@@ -67,7 +67,7 @@
 }
 
 func newInstanceTracker() *instanceTracker {
-	return &instanceTracker{stats: map[site.Key]*instanceStats{}, holders: map[site.Adapter]map[site.Key]bool{}, newRequests: map[site.Adapter]float64{}, recentRequests: map[site.Adapter]fade.Count{}, prefillSpeeds: map[string]speed.Reading{}}
+	return &instanceTracker{stats: map[site.Key]*instanceStats{}, holders: map[site.Adapter]map[site.Key]bool{}, newRequests: map[site.Adapter]float64{}, recentRequests: map[site.Adapter]decay.Count{}, prefillSpeeds: map[string]speed.Prefill{}}
 }
 
 // statsOf returns the statistics of an instance, empty ones at first; the caller holds the lock.
@@ -96,7 +96,7 @@
 	s := t.statsOf(k)
 	began := time.Now()
 	uncached := s.uncachedTokens(r)
-	prefill, isOnlyPrompt := t.prefillSpeeds[r.Target.Model].Time(uncached), s.pendingPrefill == 0
+	prefill, isOnlyPrompt := t.prefillSpeeds[r.Target.Model].Duration(uncached), s.pendingPrefill == 0
 	s.inFlight[r.Target]++
 	s.newRequests[r.Target]++
 	s.totalInFlight++
@@ -108,7 +108,7 @@
 		defer t.mu.Unlock()
 		s.pendingPrefill -= prefill
 		if isOnlyPrompt && r.Target.Model != "" {
-			t.prefillSpeeds[r.Target.Model] = t.prefillSpeeds[r.Target.Model].With(uncached, time.Since(began))
+			t.prefillSpeeds[r.Target.Model] = t.prefillSpeeds[r.Target.Model].Add(uncached, time.Since(began))
 		}
 		if buffered {
 			s.meanAnswerTime += (time.Since(began) - s.meanAnswerTime) / 4
@@ -166,7 +166,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.statsOf(k)
-	s.longestPause = s.longestPause.With(gap, time.Now())
+	s.longestPause = s.longestPause.Add(gap, time.Now())
 	s.newLongestPause = max(s.newLongestPause, gap)
 }
 
@@ -175,7 +175,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.statsOf(k)
-	s.longestPause = s.longestPause.With(longest, time.Now())
+	s.longestPause = s.longestPause.Add(longest, time.Now())
 }
 
 const (
@@ -259,12 +259,12 @@
 	for target, c := range t.recentRequests {
 		n := t.newRequests[target]
 		if allRecent {
-			n = c.Weight(now)
+			n = c.Value(now)
 		}
 		if n > 0 {
 			out = append(out, peers.Ask{Target: target, Requests: n})
 		}
-		if c.Weight(now) < minRecentWeight {
+		if c.Value(now) < minRecentWeight {
 			delete(t.recentRequests, target)
 		}
 	}
--- a/internal/node/entry/entry.go
+++ b/internal/node/entry/entry.go
@@ -39,7 +39,7 @@
 	m, closeMember := member.New(o)
 	table := route.NewTable(o.Self.Domain, xxhash.Sum64String(o.Self.Name))
 	dispatcher, closeDispatcher := calls.New(m.Holder, m.Pool, m.Mux, table, o.Meters, o.Log.Named("Calls"))
-	desk.New(permit.Limits{Models: settings.WeightStore.LoadsAtOnce, Adapters: settings.WeightStore.AdaptersInFlight, Rate: settings.WeightStore.LoadsPerSecond}, m.Mux)
+	desk.New(permit.Limits{ConcurrentModels: settings.WeightStore.LoadsAtOnce, ConcurrentAdapters: settings.WeightStore.AdaptersInFlight, ModelsPerSecond: settings.WeightStore.LoadsPerSecond}, m.Mux)
 	e := &Entry{
 		Member: m, Web: httpd.New(o.Meters, settings.Requests.MaxHeaderBytes), Dispatcher: dispatcher,
 		Limit: admit.New(settings.Requests.MaxInFlight), settings: settings, log: o.Log,
