--- a/cmd/foxtailcroft/front.go
+++ b/cmd/foxtailcroft/front.go
@@ -75,11 +75,11 @@
 		return float64(routine)
 	})
 	f, closeFront := front.New(front.Options{
-		Settings: settings, Dialect: platform.Dialect{}, Dial: conns.TCP, DialPeers: conns.TCP, ReadyPath: platform.ReadyPath, Meters: meters, Log: log,
+		Settings: settings, Dialect: platform.Dialect{}, DialInstance: conns.TCP, DialPeer: conns.TCP, ReadyPath: platform.ReadyPath, Metrics: meters, Log: log,
 		Store: platform.NewStore(settings.Store, &http.Transport{DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
 			return conns.TCP(ctx, address)
 		}}, min(settings.Bounds.InForce, settings.Bounds.Contact*2/3), meters),
-		Layout: follow.Layout{
+		StoreLayout: follow.Layout{
 			DocumentKey: platform.ConfigKey, InstancePrefix: platform.ServerPrefix,
 			Prefixes: []string{platform.OperatorPrefix, platform.ServerPrefix, follow.OwnPrefix},
 		},
--- a/internal/front/relay/answer.go
+++ b/internal/front/proxy/answer.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"context"
@@ -47,7 +47,7 @@
 	if ctx.Err() != nil {
 		return tryAnother
 	}
-	if err == nil && res.Status < http.StatusMultipleChoices && !c.server.dialect.Signed(res.Header) {
+	if err == nil && res.Status < http.StatusMultipleChoices && !c.server.dialect.IsSigned(res.Header) {
 		err = fmt.Errorf("answer without signature or with an encoding")
 	}
 	if err != nil {
@@ -78,7 +78,7 @@
 
 // copyHeader copies the end-to-end headers of an answer.
 func (c *call) copyHeader(to, from http.Header) {
-	for name, values := range endToEndHeaders(from, c.server.dialect.ForAll) {
+	for name, values := range endToEndHeaders(from, c.server.dialect.IsEndToEnd) {
 		to[name] = values
 	}
 }
--- a/internal/front/relay/call.go
+++ b/internal/front/proxy/call.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"context"
@@ -115,24 +115,24 @@
 	answered, ended := t.beginRequest(in.Key, &c.request, buffered)
 	defer ended()
 	c.instanceID = in.ID
-	header := endToEndHeaders(c.r.Header, c.server.dialect.ForAll)
+	header := endToEndHeaders(c.r.Header, c.server.dialect.IsEndToEnd)
 	lastEvent := ""
 	if c.stream != nil {
 		lastEvent = c.stream.lastEventID
 	}
-	c.server.dialect.Outgoing(header, in.ID, time.Until(c.deadline), min(9, c.route.Rank), lastEvent)
+	c.server.dialect.SetRequestHeaders(header, in.ID, time.Until(c.deadline), min(9, c.route.Rank), lastEvent)
 	res, err := c.server.pool.Do(ctx, conns.Target{Key: in.Key, Address: in.Address}, &conns.Request{
 		Method: c.r.Method, URI: c.r.RequestURI, Host: c.r.Host, Header: header, Body: c.body,
-		Mine: func(h http.Header) bool { return c.server.dialect.Answers(h, c.request.ID) },
+		Mine: func(h http.Header) bool { return c.server.dialect.MatchesRequest(h, c.request.ID) },
 	})
 	if err != nil {
 		return c.handleNoAnswer(ctx, in, err)
 	}
 	answered()
-	if load, ok := c.server.dialect.Load(res.Header); ok {
+	if load, ok := c.server.dialect.DecodeLoad(res.Header); ok {
 		t.recordLoad(in.Key, load.Running+load.Waiting, time.Now())
 	}
-	if c.server.dialect.NotRun(res.Status, res.Header) {
+	if c.server.dialect.ReportsNotRun(res.Status, res.Header) {
 		return c.handleNotRun(in, res)
 	}
 	c.possibleRuns++
@@ -192,7 +192,7 @@
 	res.Discard()
 	c.notRunAttempts++
 	c.reason = "instance did not run it: " + http.StatusText(res.Status)
-	load, hasLoad := c.server.dialect.Load(res.Header)
+	load, hasLoad := c.server.dialect.DecodeLoad(res.Header)
 	switch {
 	case res.Status == http.StatusMisdirectedRequest, c.needsLoadedModel() && hasLoad && load.Running < load.Slots:
 		// The model is absent or being unloaded: the instance says so, or rejects the request although it has free slots.
@@ -231,7 +231,7 @@
 	}
 	c.outcome, c.status, c.reason = outcome, status, reason
 	h := c.w.Header()
-	c.server.dialect.Refuse(h, c.request.ID, retryAfter)
+	c.server.dialect.SetRefusalHeaders(h, c.request.ID, retryAfter)
 	h.Set("Content-Type", "application/json")
 	body, err := json.Marshal(struct{ Error string }{reason})
 	if err != nil {
--- a/internal/front/relay/find.go
+++ b/internal/front/proxy/find.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"context"
@@ -105,11 +105,11 @@
 		return false
 	}
 	askedAt := time.Now()
-	found, err := c.server.finder.Want(ctx, peers.Want{Service: c.service, Target: c.request.Target, Wait: remaining, Answer: plannerAskInterval, Avoid: c.unusableInstances()})
+	found, err := c.server.finder.RequestInstances(ctx, peers.InstanceRequest{Service: c.service, Target: c.request.Target, Wait: remaining, Answer: plannerAskInterval, Avoid: c.unusableInstances()})
 	if c.endIfExpired(ctx) {
 		return false
 	}
-	var noPlanner *peers.NoPlanner
+	var noPlanner *peers.NoPlannerError
 	if err != nil {
 		c.plannerlessTime += time.Since(askedAt)
 		if c.plannerlessTime > maxPlannerlessTime {
--- a/internal/front/relay/log_test.go
+++ b/internal/front/proxy/log_test.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"encoding/json"
--- a/internal/front/relay/relay_test.go
+++ b/internal/front/proxy/relay_test.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"bytes"
@@ -42,9 +42,9 @@
 
 func (r *harness) State() *follow.State { return r.state }
 
-func (r *harness) Want(context.Context, peers.Want) (peers.Found, error) {
+func (r *harness) RequestInstances(context.Context, peers.InstanceRequest) (peers.InstanceReply, error) {
 	r.plannerCalls++
-	return peers.Found{Reason: "nowhere", ReadyIn: 2 * time.Second}, nil
+	return peers.InstanceReply{Reason: "nowhere", ReadyIn: 2 * time.Second}, nil
 }
 
 // withRelay runs a test against n servers of each service, of which those of llm
--- a/internal/front/relay/stream.go
+++ b/internal/front/proxy/stream.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"bufio"
@@ -40,7 +40,7 @@
 
 // relayStream passes events on as they arrive; a broken stream is resumed at another instance where that is allowed.
 func (c *call) relayStream(ctx context.Context, in site.Instance, res *conns.Response) nextStep {
-	if !c.server.dialect.Signed(res.Header) {
+	if !c.server.dialect.IsSigned(res.Header) {
 		res.Done(false)
 		c.server.tracker.recordOutcome(in.Key, true)
 		c.reason = "stream without signature or with an encoding"
--- a/internal/front/relay/tracker.go
+++ b/internal/front/proxy/tracker.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"slices"
@@ -253,8 +253,8 @@
 
 // takeRequestCounts returns the requests since the last call or, with allRecent, the
 // decayed weight of all; the caller holds the lock.
-func (t *instanceTracker) takeRequestCounts(allRecent bool) []peers.Ask {
-	var out []peers.Ask
+func (t *instanceTracker) takeRequestCounts(allRecent bool) []peers.RequestCount {
+	var out []peers.RequestCount
 	now := time.Now()
 	for target, c := range t.recentRequests {
 		n := t.newRequests[target]
@@ -262,7 +262,7 @@
 			n = c.Value(now)
 		}
 		if n > 0 {
-			out = append(out, peers.Ask{Target: target, Requests: n})
+			out = append(out, peers.RequestCount{Target: target, Requests: n})
 		}
 		if c.Value(now) < minRecentWeight {
 			delete(t.recentRequests, target)
@@ -274,14 +274,14 @@
 
 // takeUsage returns the usage since the last call, with the decayed weight of all
 // past requests if allRecent is set, and forgets idle instances that are not live.
-func (t *instanceTracker) takeUsage(front string, allRecent bool, live func(site.Key) bool) peers.Uses {
+func (t *instanceTracker) takeUsage(front string, allRecent bool, live func(site.Key) bool) peers.UsageReport {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	usage := peers.Uses{Front: front, Asked: t.takeRequestCounts(allRecent)}
+	usage := peers.UsageReport{Front: front, Asked: t.takeRequestCounts(allRecent)}
 	for k, s := range t.stats {
 		for target, n := range s.inFlight {
 			if n > 0 || s.newRequests[target] > 0 {
-				usage.Uses = append(usage.Uses, peers.Use{Instance: k, Target: target, Requests: s.newRequests[target], InFlight: n, Work: s.newPrefill[target]})
+				usage.Uses = append(usage.Uses, peers.TargetUsage{Instance: k, Target: target, Requests: s.newRequests[target], InFlight: n, Work: s.newPrefill[target]})
 			}
 			if n == 0 {
 				delete(s.inFlight, target)
@@ -290,7 +290,7 @@
 		clear(s.newRequests)
 		clear(s.newPrefill)
 		if s.newLongestPause > 0 {
-			usage.Pauses = append(usage.Pauses, peers.Pause{Instance: k, Longest: s.newLongestPause})
+			usage.Pauses = append(usage.Pauses, peers.StreamPause{Instance: k, Longest: s.newLongestPause})
 			s.newLongestPause = 0
 		}
 		if s.totalInFlight == 0 && !live(k) {
--- a/internal/front/orders/churn_test.go
+++ b/internal/front/sched/churn_test.go
@@ -1,4 +1,4 @@
-package orders
+package sched
 
 import (
 	"fmt"
@@ -139,7 +139,7 @@
 		}
 		var group conc.WaitGroup
 		group.Go(func() {
-			_, err := first.planner.Want(c.ctx, peers.Want{Service: "llm", Target: site.Adapter{Model: "m7"}, Wait: time.Second, Answer: time.Second})
+			_, err := first.planner.RequestInstances(c.ctx, peers.InstanceRequest{Service: "llm", Target: site.Adapter{Model: "m7"}, Wait: time.Second, Answer: time.Second})
 			c.g.Expect(err).NotTo(HaveOccurred())
 		})
 		group.Wait()
@@ -149,14 +149,14 @@
 				successor = p
 			}
 		}
-		status := first.planner.ApplyUsage(peers.Uses{Front: "front-next"})
+		status := first.planner.ApplyUsage(peers.UsageReport{Front: "front-next"})
 		c.g.Expect(status.Pending).To(HaveLen(1))
-		successor.planner.Learn(status)
+		successor.planner.InheritStatus(status)
 		first.cancel()
 		before := len(c.orderBook.Orders())
 		time.Sleep(4 * time.Second)
 		c.g.Expect(successor.planner.checkLeadership()).To(BeTrue())
-		found, err := successor.planner.Want(c.ctx, peers.Want{Service: "llm", Target: site.Adapter{Model: "m7"}, Wait: 12 * time.Second, Answer: 12 * time.Second})
+		found, err := successor.planner.RequestInstances(c.ctx, peers.InstanceRequest{Service: "llm", Target: site.Adapter{Model: "m7"}, Wait: 12 * time.Second, Answer: 12 * time.Second})
 		c.g.Expect(err).NotTo(HaveOccurred())
 		c.g.Expect(found.Instances).To(HaveLen(1), found.Reason)
 		c.g.Expect(c.orderBook.Orders()[before:]).To(BeEmpty())
@@ -195,7 +195,7 @@
 		var group conc.WaitGroup
 		for range waiters {
 			group.Go(func() {
-				_, err := p.Want(c.ctx, peers.Want{Service: "llm", Target: site.Adapter{Model: "m4"}, Wait: 4 * time.Second, Answer: 4 * time.Second})
+				_, err := p.RequestInstances(c.ctx, peers.InstanceRequest{Service: "llm", Target: site.Adapter{Model: "m4"}, Wait: 4 * time.Second, Answer: 4 * time.Second})
 				c.g.Expect(err).NotTo(HaveOccurred())
 			})
 		}
--- a/internal/front/orders/execute.go
+++ b/internal/front/sched/execute.go
@@ -1,4 +1,4 @@
-package orders
+package sched
 
 import (
 	"context"
@@ -123,7 +123,7 @@
 	case <-ctx.Done():
 		return false
 	}
-	fence, ok := p.lead.FencingToken(p.settings.ChecksFence)
+	fence, ok := p.candidate.FencingToken(p.settings.ChecksFence)
 	p.mu.Lock()
 	if !ok || fence != p.fence || fence == p.deposedFence || p.servers[s.inst.Key] != s || !s.allowsOrder(o, engineOf(p.state(), s.inst.Service)) {
 		p.mu.Unlock()
--- a/internal/front/orders/planner.go
+++ b/internal/front/sched/planner.go
@@ -1,4 +1,4 @@
-package orders
+package sched
 
 import (
 	"context"
@@ -46,20 +46,20 @@
 	// LoadWindow is the sliding window over which the rate limit of the weight store
 	// counts loads.
 	LoadWindow time.Duration
-	// TurnGap is the least time between the orders of two planners to a server that
+	// HandoverDelay is the least time between the orders of two planners to a server that
 	// doesn't check fencing tokens.
-	TurnGap time.Duration
+	HandoverDelay time.Duration
 }
 
 // Planner decides which models and adapters servers load, and sends orders to them
 // while its front holds the planner's key.
 type Planner struct {
-	settings Settings
-	lead     *Lead
-	state    func() *follow.State
-	client   *serverClient
-	log      *zap.SugaredLogger
-	group    *crew.Group
+	settings  Settings
+	candidate *Candidate
+	state     func() *follow.State
+	client    *serverClient
+	log       *zap.SugaredLogger
+	group     *crew.Group
 
 	mu sync.Mutex
 	// fence is the fencing token of this front's last term as the planner.
@@ -86,7 +86,7 @@
 	// storeConcurrency estimates how many loads from the weight store run at full
 	// speed concurrently.
 	storeConcurrency loads.Concurrency
-	cachedLoads      []peers.Load
+	cachedLoads      []peers.ServerLoad
 	cachedLoadsAt    time.Time
 	// wakeup triggers the next planning step.
 	wakeup          chan struct{}
@@ -101,10 +101,10 @@
 }
 
 // New returns a planner and a function that waits for its background work to end.
-func New(set Settings, lead *Lead, state func() *follow.State, pool *conns.Pool, d Dialect, meters *metrics.Set, log *zap.SugaredLogger) (*Planner, func()) {
+func New(set Settings, lead *Candidate, state func() *follow.State, pool *conns.Pool, d Dialect, meters *metrics.Set, log *zap.SugaredLogger) (*Planner, func()) {
 	group := &crew.Group{}
 	p := &Planner{
-		settings: set, lead: lead, state: state, client: &serverClient{pool: pool, dialect: d}, log: log, group: group,
+		settings: set, candidate: lead, state: state, client: &serverClient{pool: pool, dialect: d}, log: log, group: group,
 		servers: map[site.Key]*server{}, wants: map[site.Adapter]*wantedTarget{}, adaptersLoading: map[site.Adapter]bool{}, expectedReady: map[string]time.Time{},
 		usageByFront: map[string]frontUsage{}, demand: newDemand(), wakeup: make(chan struct{}, 1),
 		ordersTotal: meters.GetOrCreateCounter("foxtailcroft_orders_total"), storeLoadsTotal: meters.GetOrCreateCounter("foxtailcroft_store_loads_total"),
@@ -155,7 +155,7 @@
 // token it resets the planner's view of the servers, as other planners may have given
 // orders in between.
 func (p *Planner) checkLeadership() bool {
-	fence, ok := p.lead.FencingToken(p.settings.ChecksFence)
+	fence, ok := p.candidate.FencingToken(p.settings.ChecksFence)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !ok || fence == p.deposedFence {
@@ -171,7 +171,7 @@
 		// The previous planner may just have started as many loads as may run concurrently.
 		p.storeLoadStarts = slices.Repeat([]time.Time{p.leadingSince}, p.storeConcurrency.Limit())
 	}
-	return p.settings.ChecksFence || time.Since(p.leadingSince) >= p.settings.TurnGap
+	return p.settings.ChecksFence || time.Since(p.leadingSince) >= p.settings.HandoverDelay
 }
 
 // syncInstances updates the servers from the announced instances, reads the report
--- a/internal/front/orders/planner_test.go
+++ b/internal/front/sched/planner_test.go
@@ -1,4 +1,4 @@
-package orders
+package sched
 
 import (
 	"context"
@@ -56,9 +56,9 @@
 
 // testFront is the part of a front that takes part in planning.
 type testFront struct {
-	follower *follow.Follower
-	lead     *Lead
-	planner  *Planner
+	follower  *follow.Follower
+	candidate *Candidate
+	planner   *Planner
 	// store is the front's access to the store, which can be partitioned.
 	store  *partitionableStore
 	cancel context.CancelFunc
@@ -168,17 +168,17 @@
 	name, log := fmt.Sprintf("front-%d", i), zap.NewNop().Sugar()
 	layout := follow.Layout{DocumentKey: platform.ConfigKey, InstancePrefix: platform.ServerPrefix, Prefixes: []string{platform.OperatorPrefix, platform.ServerPrefix, follow.OwnPrefix}}
 	p.follower = follow.New(name, p.store, platform.Dialect{}, layout, follow.Times{Returning: 2 * time.Second, Gather: 600 * time.Millisecond}, log)
-	p.lead = NewLead(LeadOptions{
-		Name: name, Address: name + ":1", MinLease: time.Second,
-		Boot: func() time.Duration { return time.Since(began) + time.Duration(p.suspendedNanos.Load()) },
+	p.candidate = NewCandidate(CandidateOptions{
+		Name: name, Address: name + ":1", MinLeaseTTL: time.Second,
+		SinceBoot: func() time.Duration { return time.Since(began) + time.Duration(p.suspendedNanos.Load()) },
 	}, p.store, p.follower.State, log)
 	pool, closePool := conns.New(c.net.Dial, metrics.NewSet())
 	var closePlanner func()
-	p.planner, closePlanner = New(Settings{Node: name, ChecksFence: c.checksFence, LoadWindow: 5 * time.Second, TurnGap: handoverDelay}, p.lead, func() *follow.State {
+	p.planner, closePlanner = New(Settings{Node: name, ChecksFence: c.checksFence, LoadWindow: 5 * time.Second, HandoverDelay: handoverDelay}, p.candidate, func() *follow.State {
 		c.stateReads.Add(1)
 		return p.follower.State()
 	}, pool, platform.Dialect{}, metrics.NewSet(), log)
-	for _, run := range []func(context.Context){p.follower.Run, p.lead.Run, p.planner.Run, p.planner.RunReports} {
+	for _, run := range []func(context.Context){p.follower.Run, p.candidate.Run, p.planner.Run, p.planner.RunReports} {
 		c.group.Go(func() { run(ctx) })
 	}
 	c.group.Go(func() {
@@ -203,8 +203,8 @@
 	return nil
 }
 
-func (c *cluster) want(model, adapter string, wait time.Duration) (peers.Found, error) {
-	return c.leader().planner.Want(c.ctx, peers.Want{Service: "llm", Target: site.Adapter{Model: model, Name: adapter}, Wait: wait, Answer: wait})
+func (c *cluster) want(model, adapter string, wait time.Duration) (peers.InstanceReply, error) {
+	return c.leader().planner.RequestInstances(c.ctx, peers.InstanceRequest{Service: "llm", Target: site.Adapter{Model: model, Name: adapter}, Wait: wait, Answer: wait})
 }
 
 func TestMissingModelIsLoadedWhileRequestsWait(t *testing.T) {
@@ -260,7 +260,7 @@
 	runCluster(t, 3, 1, 3, func(c *cluster) {
 		time.Sleep(5 * time.Second)
 		c.stops[0]()
-		found, err := c.leader().planner.Want(c.ctx, peers.Want{
+		found, err := c.leader().planner.RequestInstances(c.ctx, peers.InstanceRequest{
 			Service: "llm", Target: site.Adapter{Model: "m0"}, Wait: 5 * time.Second, Answer: 5 * time.Second, Avoid: []site.Key{{ID: "i-0", Born: 1}},
 		})
 		c.g.Expect(err).NotTo(HaveOccurred())
@@ -282,7 +282,7 @@
 			}
 		}
 		c.g.Expect(successor).NotTo(BeNil())
-		found, err := successor.planner.Want(c.ctx, peers.Want{Service: "llm", Target: site.Adapter{Model: "m5"}, Wait: 5 * time.Second, Answer: 5 * time.Second})
+		found, err := successor.planner.RequestInstances(c.ctx, peers.InstanceRequest{Service: "llm", Target: site.Adapter{Model: "m5"}, Wait: 5 * time.Second, Answer: 5 * time.Second})
 		c.g.Expect(err).NotTo(HaveOccurred())
 		c.g.Expect(found.Instances).NotTo(BeEmpty())
 		fences := map[string]int64{}
@@ -303,7 +303,7 @@
 			for i := range 60 {
 				for _, p := range c.fronts {
 					group.Go(func() {
-						_, _ = p.planner.Want(c.ctx, peers.Want{Service: "llm", Target: site.Adapter{Model: fmt.Sprintf("m%d", i%8)}, Wait: time.Second, Answer: time.Second})
+						_, _ = p.planner.RequestInstances(c.ctx, peers.InstanceRequest{Service: "llm", Target: site.Adapter{Model: fmt.Sprintf("m%d", i%8)}, Wait: time.Second, Answer: time.Second})
 					})
 				}
 				time.Sleep(100 * time.Millisecond)
@@ -404,7 +404,7 @@
 			}
 			for _, p := range c.fronts {
 				group.Go(func() {
-					_, _ = p.planner.Want(c.ctx, peers.Want{Service: "llm", Target: site.Adapter{Model: model, Name: adapter}, Wait: 3 * time.Second, Answer: time.Second})
+					_, _ = p.planner.RequestInstances(c.ctx, peers.InstanceRequest{Service: "llm", Target: site.Adapter{Model: model, Name: adapter}, Wait: 3 * time.Second, Answer: time.Second})
 				})
 			}
 		}
--- a/internal/front/orders/usage.go
+++ b/internal/front/sched/usage.go
@@ -1,4 +1,4 @@
-package orders
+package sched
 
 import (
 	"cmp"
@@ -41,7 +41,7 @@
 
 // ApplyUsage applies a front's usage report. It returns the load of the busiest
 // servers, and the state that a successor inherits.
-func (p *Planner) ApplyUsage(u peers.Uses) peers.PlannerStatus {
+func (p *Planner) ApplyUsage(u peers.UsageReport) peers.PlannerStatus {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
@@ -70,17 +70,17 @@
 
 // busiestServers returns the load of the maxListedServers servers with the most
 // requests, cached for loadsCacheTTL. The caller must hold p.mu.
-func (p *Planner) busiestServers(now time.Time) []peers.Load {
+func (p *Planner) busiestServers(now time.Time) []peers.ServerLoad {
 	if p.cachedLoads != nil && now.Sub(p.cachedLoadsAt) < loadsCacheTTL {
 		return p.cachedLoads
 	}
-	var loads []peers.Load
+	var loads []peers.ServerLoad
 	for _, s := range p.servers {
 		if s.known && !s.lost {
-			loads = append(loads, peers.Load{Instance: s.inst.Key, Requests: s.requests, Age: now.Sub(s.reportedAt), Pause: s.pausePeak.Value(now)})
+			loads = append(loads, peers.ServerLoad{Instance: s.inst.Key, Requests: s.requests, Age: now.Sub(s.reportedAt), Pause: s.pausePeak.Value(now)})
 		}
 	}
-	slices.SortFunc(loads, func(a, b peers.Load) int {
+	slices.SortFunc(loads, func(a, b peers.ServerLoad) int {
 		return cmp.Or(cmp.Compare(b.Requests, a.Requests), cmp.Compare(a.Instance.ID, b.Instance.ID))
 	})
 	p.cachedLoads, p.cachedLoadsAt = loads[:min(maxListedServers, len(loads))], now
@@ -101,9 +101,9 @@
 // loadsCacheTTL is how long one computed list of server loads is returned to all fronts.
 const loadsCacheTTL = 200 * time.Millisecond
 
-// Learn stores the state that another planner has published, in case this front
+// InheritStatus stores the state that another planner has published, in case this front
 // succeeds it.
-func (p *Planner) Learn(status peers.PlannerStatus) {
+func (p *Planner) InheritStatus(status peers.PlannerStatus) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.storeConcurrency.Limit() != status.StoreLoads && status.StoreLoads > 0 {
--- a/internal/node/front/front.go
+++ b/internal/node/front/front.go
@@ -15,9 +15,9 @@
 	"foxtailcroft/internal/base/pause"
 	"foxtailcroft/internal/base/tree"
 	"foxtailcroft/internal/core/site"
-	"foxtailcroft/internal/front/orders"
 	"foxtailcroft/internal/front/peers"
-	"foxtailcroft/internal/front/relay"
+	"foxtailcroft/internal/front/proxy"
+	"foxtailcroft/internal/front/sched"
 	"foxtailcroft/internal/link/peer"
 	"foxtailcroft/internal/plat/follow"
 	"foxtailcroft/internal/plat/store"
@@ -25,30 +25,30 @@
 
 // Dialect translates the deployment's headers, orders and stored documents.
 type Dialect interface {
-	relay.Dialect
-	orders.Dialect
+	proxy.Dialect
+	sched.Dialect
 	follow.Decoder
 }
 
 // Store is the part of the metadata store that the front uses.
 type Store interface {
 	store.Store
-	orders.Leases
+	sched.LeaseStore
 }
 
 // Options are the settings and dependencies of a front.
 type Options struct {
-	Settings conf.Front
-	Store    Store
-	Dialect  Dialect
-	Layout   follow.Layout
-	// Dial opens connections to instances.
-	Dial conns.Dial
-	// DialPeers opens connections to other fronts.
-	DialPeers peer.Dialer
+	Settings    conf.Front
+	Store       Store
+	Dialect     Dialect
+	StoreLayout follow.Layout
+	// DialInstance opens connections to instances.
+	DialInstance conns.Dial
+	// DialPeer opens connections to other fronts.
+	DialPeer peer.Dialer
 	// ReadyPath is the path of the readiness check.
 	ReadyPath string
-	Meters    *metrics.Set
+	Metrics   *metrics.Set
 	Log       *zap.Logger
 }
 
@@ -64,10 +64,10 @@
 type Front struct {
 	settings       conf.Front
 	follower       *follow.Follower
-	election       *orders.Lead
-	planner        *orders.Planner
-	peers          *peers.Peers
-	relay          *relay.Server
+	election       *sched.Candidate
+	planner        *sched.Planner
+	peers          *peers.Client
+	relay          *proxy.Server
 	pool           *conns.Pool
 	mux            *peer.Mux
 	hello          func() peer.Hello
@@ -81,24 +81,24 @@
 func New(o Options) (*Front, func()) {
 	log := o.Log.Sugar()
 	settings := o.Settings
-	follower := follow.New(settings.Node.Name, o.Store, o.Dialect, o.Layout, follow.Times{
+	follower := follow.New(settings.Node.Name, o.Store, o.Dialect, o.StoreLayout, follow.Times{
 		Returning: settings.Bounds.Returning, Gather: min(settings.Bounds.InForce, settings.Bounds.Drain) * gatherTenths / 10,
 	}, log.Named("Follow"))
-	pool, closePool := conns.New(o.Dial, o.Meters)
-	election := orders.NewLead(orders.LeadOptions{
-		Name: settings.Node.Name, Address: settings.Listen.Peers, MinLease: settings.Bounds.MinLease, Processor: settings.Processor, Boot: clock.SinceBoot,
+	pool, closePool := conns.New(o.DialInstance, o.Metrics)
+	election := sched.NewCandidate(sched.CandidateOptions{
+		Name: settings.Node.Name, Address: settings.Listen.Peers, MinLeaseTTL: settings.Bounds.MinLease, CPUShare: settings.Processor, SinceBoot: clock.SinceBoot,
 	}, o.Store, follower.State, log.Named("Lead"))
-	planner, closePlanner := orders.New(orders.Settings{
-		Node: settings.Node.Name, ChecksFence: settings.ChecksFence, LoadWindow: settings.Bounds.LoadWindow, TurnGap: settings.Bounds.Lease,
-	}, election, follower.State, pool, o.Dialect, o.Meters, log.Named("Planner"))
+	planner, closePlanner := sched.New(sched.Settings{
+		Node: settings.Node.Name, ChecksFence: settings.ChecksFence, LoadWindow: settings.Bounds.LoadWindow, HandoverDelay: settings.Bounds.Lease,
+	}, election, follower.State, pool, o.Dialect, o.Metrics, log.Named("Planner"))
 	mux := peer.NewMux()
 	hello := func() peer.Hello { return peer.Hello{Node: settings.Node.Name} }
-	links, closeLinks := peer.NewPool(o.DialPeers, mux, hello)
+	links, closeLinks := peer.NewPool(o.DialPeer, mux, hello)
 	frontPeers := peers.New(election.Self, links, mux, follower, settings.Seeds, planner)
 	follower.SetPeers(frontPeers)
 	f := &Front{
 		settings: settings, follower: follower, election: election, planner: planner, peers: frontPeers, pool: pool, mux: mux, hello: hello, options: o, log: log,
-		relay: relay.New(settings, follower, pool, o.Dialect, frontPeers, o.Meters, log.Named("Relay")),
+		relay: proxy.New(settings, follower, pool, o.Dialect, frontPeers, o.Metrics, log.Named("Relay")),
 	}
 	f.callerServer = newCallerServer(f.relay, follower)
 	return f, func() {
@@ -166,7 +166,7 @@
 		if !isNewPlanner && len(usage.Uses) == 0 && len(usage.Asked) == 0 && len(usage.Pauses) == 0 {
 			continue
 		}
-		board, err := f.peers.Use(ctx, usage)
+		board, err := f.peers.ReportUsage(ctx, usage)
 		if err != nil {
 			f.log.Debugw("usage report to the planner failed; sending the next one after the usual interval", "Error", err.Error())
 			if isNewPlanner {
@@ -175,7 +175,7 @@
 			continue
 		}
 		f.relay.RecordLoads(board.Loads)
-		f.planner.Learn(board)
+		f.planner.InheritStatus(board)
 	}
 }
 
--- a/internal/node/front/front_test.go
+++ b/internal/node/front/front_test.go
@@ -79,11 +79,11 @@
 	f, closeFront := New(Options{
 		Settings: set,
 		Store:    platform.NewStore("store:1", transport, 2*time.Second, meters), Dialect: platform.Dialect{},
-		Layout: follow.Layout{
+		StoreLayout: follow.Layout{
 			DocumentKey: platform.ConfigKey, InstancePrefix: platform.ServerPrefix,
 			Prefixes: []string{platform.OperatorPrefix, platform.ServerPrefix, follow.OwnPrefix},
 		},
-		Dial: r.net.Dial, DialPeers: r.net.Dial, ReadyPath: platform.ReadyPath, Meters: meters, Log: zap.NewNop(),
+		DialInstance: r.net.Dial, DialPeer: r.net.Dial, ReadyPath: platform.ReadyPath, Metrics: meters, Log: zap.NewNop(),
 	})
 	parts, closeTree := tree.New(r.ctx, zap.NewNop())
 	f.Start(parts, Listeners{Callers: r.net.Listen(set.Listen.Callers), Ready: r.net.Listen(set.Listen.Ready), Peers: r.net.Listen(set.Listen.Peers)})
--- a/internal/node/front/ready.go
+++ b/internal/node/front/ready.go
@@ -32,7 +32,7 @@
 
 func (f *Front) metricsHandler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("/metrics", func(w http.ResponseWriter, _ *http.Request) { f.options.Meters.WritePrometheus(w) })
+	mux.HandleFunc("/metrics", func(w http.ResponseWriter, _ *http.Request) { f.options.Metrics.WritePrometheus(w) })
 	return mux
 }
 
@@ -52,7 +52,7 @@
 	f.relay.SetStopTime(deadline)
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
-	f.election.Leave(ctx)
+	f.election.Resign(ctx)
 	f.callerServer.closeAfterAnswers()
 	pause.For(ctx, min(unreadyNoticeTime, time.Until(deadline)/2))
 	if err := f.callerServer.drain(ctx); err != nil {
--- a/internal/plat/follow/follower.go
+++ b/internal/plat/follow/follower.go
@@ -31,7 +31,7 @@
 
 // Peers fetches a view newer than a revision from other fronts; false if none has one.
 type Peers interface {
-	Newer(ctx context.Context, revision int64) (store.List, bool)
+	FetchNewer(ctx context.Context, revision int64) (store.List, bool)
 }
 
 // Follower holds the newest state received from the store or from another front.
@@ -196,7 +196,7 @@
 		if f.peers == nil || !f.Away(0) && f.State().Document != nil {
 			continue
 		}
-		if list, ok := f.peers.Newer(ctx, f.State().Revision); ok {
+		if list, ok := f.peers.FetchNewer(ctx, f.State().Revision); ok {
 			f.log.Infow("applying a newer view from another front", "Revision", list.Revision)
 			f.replaceView(list)
 		}
--- a/internal/plat/follow/follower_test.go
+++ b/internal/plat/follow/follower_test.go
@@ -257,7 +257,7 @@
 // fakePeer returns a fixed view.
 type fakePeer struct{ list atomic.Pointer[store.List] }
 
-func (m *fakePeer) Newer(_ context.Context, revision int64) (store.List, bool) {
+func (m *fakePeer) FetchNewer(_ context.Context, revision int64) (store.List, bool) {
 	list := m.list.Load()
 	if list == nil {
 		return store.List{}, false
