--- a/internal/entry/admin/status.go
+++ b/internal/entry/admin/status.go
@@ -58,19 +58,19 @@
 // Cluster is the state of all models, endpoints and nodes.
 type Cluster struct {
 	Revision  int64
-	Models    []ModelLine
-	Endpoints []EndpointLine
-	Nodes     []NodeLine
+	Models    []ModelStatus
+	Endpoints []EndpointStatus
+	Nodes     []NodeStatus
 }
 
-// ModelLine is a model's name and status.
-type ModelLine struct {
+// ModelStatus is a model's name and status.
+type ModelStatus struct {
 	Name string
 	Status
 }
 
-// EndpointLine is the state of one endpoint.
-type EndpointLine struct {
+// EndpointStatus is the state of one endpoint.
+type EndpointStatus struct {
 	Name        string
 	Domain      string
 	Epoch       int64
@@ -82,9 +82,9 @@
 	Unreachable bool `json:",omitempty"`
 }
 
-// NodeLine is the state of one node. Revision is the one that the node applies;
+// NodeStatus is the state of one node. Revision is the one that the node applies;
 // 0 if no relay knows it.
-type NodeLine struct {
+type NodeStatus struct {
 	Name     string
 	Role     plan.Role
 	Domain   string
@@ -315,19 +315,19 @@
 	reports, inForce := r.agentReports(ctx, agents), r.revisionsInForce(ctx)
 	out := Cluster{Revision: v.Revision()}
 	for _, m := range v.Resources(kinds.Model) {
-		out.Models = append(out.Models, ModelLine{m.Name, r.buildStatus(v, m, reports, inForce)})
+		out.Models = append(out.Models, ModelStatus{m.Name, r.buildStatus(v, m, reports, inForce)})
 	}
 	for _, n := range v.Nodes() {
-		out.Nodes = append(out.Nodes, NodeLine{n.Name, n.Role, n.Domain, inForce[n.Name]})
+		out.Nodes = append(out.Nodes, NodeStatus{n.Name, n.Role, n.Domain, inForce[n.Name]})
 		if n.Role == plan.Agent {
 			report, ok := reports[n.Name]
-			out.Endpoints = append(out.Endpoints, EndpointLine{
+			out.Endpoints = append(out.Endpoints, EndpointStatus{
 				Name: n.Name, Domain: n.Domain, Epoch: n.Epoch, Service: n.Service, MemoryBytes: n.MemoryBytes,
 				UsedBytes: report.UsedBytes, Queued: report.Queued, Leaving: report.Leaving, Unreachable: !ok,
 			})
 		}
 	}
-	slices.SortFunc(out.Nodes, func(a, b NodeLine) int { return strings.Compare(a.Name, b.Name) })
-	slices.SortFunc(out.Endpoints, func(a, b EndpointLine) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(out.Nodes, func(a, b NodeStatus) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(out.Endpoints, func(a, b EndpointStatus) int { return strings.Compare(a.Name, b.Name) })
 	return out
 }
--- a/internal/entry/calls/attempt.go
+++ b/internal/entry/calls/attempt.go
@@ -229,18 +229,18 @@
 	return nil
 }
 
-// CutOff is the cancellation cause of requests that are still in flight when the entry shuts down.
-type CutOff struct{}
+// ShutdownError is the cancellation cause of requests that are still in flight when the entry shuts down.
+type ShutdownError struct{}
 
 // Error implements error.
-func (*CutOff) Error() string {
+func (*ShutdownError) Error() string {
 	return "entry shut down before the request ended"
 }
 
 // settle ends an attempt whose context is done. Unless the caller has gone, it
 // revokes the attempt to find out whether it certainly didn't run.
 func (a *attempt) settle(ctx context.Context) outcome {
-	var cutOff *CutOff
+	var cutOff *ShutdownError
 	if errors.Is(ctx.Err(), context.Canceled) && !errors.As(context.Cause(ctx), &cutOff) {
 		return a.abandon(fault.Failed(fault.Canceled, "the caller has gone"))
 	}
--- a/internal/entry/desk/desk.go
+++ b/internal/entry/grants/desk.go
@@ -1,4 +1,4 @@
-package desk
+package grants
 
 import (
 	"context"
--- a/internal/node/entry/entry.go
+++ b/internal/node/entry/entry.go
@@ -15,7 +15,7 @@
 	"foxtailcroft/internal/entry/admit"
 	"foxtailcroft/internal/entry/caller"
 	"foxtailcroft/internal/entry/calls"
-	"foxtailcroft/internal/entry/desk"
+	"foxtailcroft/internal/entry/grants"
 	"foxtailcroft/internal/entry/placer"
 	"foxtailcroft/internal/entry/route"
 	"foxtailcroft/internal/node/httpd"
@@ -28,7 +28,7 @@
 	Member     *member.Member
 	Web        *httpd.Server
 	Dispatcher *calls.Dispatcher
-	Placer     *placer.Placer
+	Placer     *placer.Planner
 	Limit      *admit.Limit
 	settings   conf.Entry
 	log        *zap.Logger
@@ -39,12 +39,12 @@
 	m, closeMember := member.New(o)
 	table := route.NewTable(o.Self.Domain, xxhash.Sum64String(o.Self.Name))
 	dispatcher, closeDispatcher := calls.New(m.Holder, m.Pool, m.Mux, table, o.Meters, o.Log.Named("Calls"))
-	desk.New(permit.Limits{ConcurrentModels: settings.WeightStore.LoadsAtOnce, ConcurrentAdapters: settings.WeightStore.AdaptersInFlight, ModelsPerSecond: settings.WeightStore.LoadsPerSecond}, m.Mux)
+	grants.New(permit.Limits{ConcurrentModels: settings.WeightStore.LoadsAtOnce, ConcurrentAdapters: settings.WeightStore.AdaptersInFlight, ModelsPerSecond: settings.WeightStore.LoadsPerSecond}, m.Mux)
 	e := &Entry{
 		Member: m, Web: httpd.New(o.Meters, settings.Requests.MaxHeaderBytes), Dispatcher: dispatcher,
 		Limit: admit.New(settings.Requests.MaxInFlight), settings: settings, log: o.Log,
-		Placer: &placer.Placer{
-			Self: o.Self.Name, Holder: m.Holder, Store: o.Store, Ledger: m.Ledger, List: o.List,
+		Placer: &placer.Planner{
+			NodeName: o.Self.Name, Holder: m.Holder, Store: o.Store, Ledger: m.Ledger, Instances: o.List,
 			Pool: m.Pool, Log: o.Log.Named("Planner"), GoneAfter: settings.GoneAfter.Std(),
 		},
 	}
@@ -100,7 +100,7 @@
 	pause.For(ctx, e.settings.Drain.Notice.Std())
 	ctx, cancel := context.WithTimeout(ctx, e.settings.Drain.Limit.Std())
 	defer cancel()
-	if err := e.Web.Shutdown(ctx, &calls.CutOff{}); err != nil {
+	if err := e.Web.Shutdown(ctx, &calls.ShutdownError{}); err != nil {
 		e.log.Warn("requests were cut off", zap.Error(err))
 	}
 }
--- a/test/scale/planner_test.go
+++ b/test/scale/planner_test.go
@@ -29,7 +29,7 @@
 }
 
 // plannerAt returns a planner over a configuration of a size; planned says whether the plans are already made.
-func plannerAt(b *testing.B, s size, planned bool) *placer.Placer {
+func plannerAt(b *testing.B, s size, planned bool) *placer.Planner {
 	b.Helper()
 	h := view.NewHolder()
 	d := configuration(b, s)
@@ -46,8 +46,8 @@
 	pool, closePool := peer.NewPool(noDial, peer.NewMux(), func() peer.Hello { return peer.Hello{} })
 	b.Cleanup(closePool)
 	memory := platf.NewMemory(1)
-	return &placer.Placer{
-		Self: "entry", Holder: h, Store: memory, Ledger: ledger.New(memory, func(audit.Record) {}), List: noList{}, Pool: pool,
+	return &placer.Planner{
+		NodeName: "entry", Holder: h, Store: memory, Ledger: ledger.New(memory, func(audit.Record) {}), Instances: noList{}, Pool: pool,
 		Log: zap.NewNop(), GoneAfter: time.Hour,
 	}
 }
