--- a/internal/agent/guard/guard_test.go
+++ b/internal/agent/fence/guard_test.go
@@ -1,4 +1,4 @@
-package guard
+package fence
 
 import (
 	"context"
@@ -57,7 +57,7 @@
 				}
 				s.SetFaults(platf.Faults{Away: c.storeAway})
 				eng := motor.New(motor.Settings{MemoryBytes: 10, LoadTime: time.Second})
-				err := eng.Load(context.Background(), engine.Order{Item: engine.Item{Model: "m"}, Bytes: 1, Fence: 1, Check: guard.Check})
+				err := eng.Load(context.Background(), engine.Order{Item: engine.Item{Model: "m"}, Bytes: 1, Fence: 1, Check: guard.CheckEpoch})
 				var fenced *engine.Fenced
 				g.Expect(err == nil).To(Equal(c.loaded), "%v", err)
 				g.Expect(errors.As(err, &fenced)).To(Equal(c.fenced), "%v", err)
--- a/internal/agent/tries/attempt.go
+++ b/internal/agent/runs/attempt.go
@@ -1,4 +1,4 @@
-package tries
+package runs
 
 import (
 	"context"
@@ -172,9 +172,9 @@
 	a.pieces, a.Body, a.answerBytes = nil, nil, 0
 }
 
-// CutOff ends an attempt because its agent stops: a pending one is refused as
+// Abort ends an attempt because its agent stops: a pending one is refused as
 // not run, a running one is canceled and ends as failed.
-func (a *Attempt) CutOff() {
+func (a *Attempt) Abort() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	switch a.phase {
--- a/internal/agent/slots/acquire.go
+++ b/internal/agent/slots/acquire.go
@@ -127,7 +127,7 @@
 		return fault.NotRun(fault.Deposed, "another agent has taken over endpoint %q", m.settings.Node).WithEndpoint(redirect)
 	case !hasSlot || s.State != plan.Active || (r != nil && r.releasing):
 		return fault.NotRun(fault.NoSlot, "model %q has no active slot at endpoint %q", req.Model, m.settings.Node).WithEndpoint(redirect)
-	case !replicaLoaded && !m.confirmed:
+	case !replicaLoaded && !m.loadsAllowed:
 		return fault.NotRun(fault.StoreAway, "endpoint %q has not read the plan since its start", m.settings.Node).WithEndpoint(redirect)
 	case redirect != "" && !m.canFit(m.missingBytes(v, req, spec)):
 		return fault.NotRun(fault.NoMemory, "endpoint %q is full of busy replicas", m.settings.Node).WithEndpoint(redirect)
--- a/internal/agent/slots/evict_test.go
+++ b/internal/agent/slots/evict_test.go
@@ -42,10 +42,10 @@
 		g := NewWithT(t)
 		var auditRecords []audit.Record
 		eng := motor.New(motor.Settings{MemoryBytes: 100, LoadTime: time.Second, UnloadTime: time.Second})
-		m, stop := New(Settings{Node: "e", MemoryBytes: 100, OrderTimeout: time.Minute, Note: func(r audit.Record) { auditRecords = append(auditRecords, r) }},
+		m, stop := New(Settings{Node: "e", MemoryBytes: 100, OrderTimeout: time.Minute, RecordEviction: func(r audit.Record) { auditRecords = append(auditRecords, r) }},
 			holderWithModels(g, "first", "second"), eng, noopPermits{}, func() {}, zap.NewNop())
 		defer stop()
-		m.Confirm(1)
+		m.AllowLoads(1)
 		for _, name := range []string{"first", "second"} {
 			grant, err := m.Acquire(context.Background(), Request{Model: name, Deadline: time.Now().Add(time.Minute)})
 			g.Expect(err).NotTo(HaveOccurred())
--- a/internal/agent/slots/fence_test.go
+++ b/internal/agent/slots/fence_test.go
@@ -46,7 +46,7 @@
 			view.NewHolder(), eng, noopPermits{}, func() {}, zap.NewNop())
 		defer stop()
 		g.Expect(successor.Recover(context.Background(), 2)).To(Succeed())
-		successor.Confirm(2)
+		successor.AllowLoads(2)
 		var fenced *engine.Fenced
 		g.Expect(<-done).To(BeAssignableToTypeOf(fenced))
 		g.Expect(eng.Holds()).To(BeEmpty())
--- a/internal/agent/slots/orders.go
+++ b/internal/agent/slots/orders.go
@@ -26,7 +26,7 @@
 	startedAt := time.Now()
 	i.lastLoadStart = startedAt
 	m.log.Info("loading", zap.Stringer("Item", i.name), zap.Int64("Bytes", i.bytes))
-	o := engine.Order{Item: i.name, Bytes: i.bytes, Fence: m.settings.Epoch, Check: m.settings.Check}
+	o := engine.Order{Item: i.name, Bytes: i.bytes, Fence: m.settings.Epoch, Check: m.settings.CheckEpoch}
 	m.group.Go(func() {
 		ctx, cancel := context.WithTimeout(m.ctx, m.settings.OrderTimeout)
 		defer cancel()
@@ -112,7 +112,7 @@
 	if isAdapter {
 		key = kinds.Key(kinds.Adapter, adapter)
 	}
-	m.settings.Note(audit.Record{Time: time.Now().UTC(), Actor: m.settings.Node, Action: "Evicted", Key: key})
+	m.settings.RecordEviction(audit.Record{Time: time.Now().UTC(), Actor: m.settings.Node, Action: "Evicted", Key: key})
 	if isAdapter {
 		m.startUnload(r.adapters[adapter], r)
 		return
@@ -127,7 +127,7 @@
 	}
 	i.phase = unloading
 	m.log.Info("unloading", zap.Stringer("Item", i.name))
-	o := engine.Order{Item: i.name, Bytes: i.bytes, Fence: m.settings.Epoch, Check: m.settings.Check}
+	o := engine.Order{Item: i.name, Bytes: i.bytes, Fence: m.settings.Epoch, Check: m.settings.CheckEpoch}
 	m.group.Go(func() {
 		err := m.unloadWithRetry(o)
 		m.mu.Lock()
@@ -172,13 +172,13 @@
 // the previous agent that arrive after the read. It then waits for ReportLag
 // and Grace, since other engines still accept such orders.
 func (m *Manager) Recover(ctx context.Context, epoch int64) error {
-	if err := m.engine.Unload(ctx, engine.Order{Item: fenceItem, Fence: epoch, Check: m.settings.Check}); err != nil {
+	if err := m.engine.Unload(ctx, engine.Order{Item: fenceItem, Fence: epoch, Check: m.settings.CheckEpoch}); err != nil {
 		m.mu.Lock()
 		defer m.mu.Unlock()
 		m.handleFenced(err)
 		return err
 	}
-	if !pause.For(ctx, m.settings.ReportLag+m.settings.Grace) {
+	if !pause.For(ctx, m.settings.ReportLag+m.settings.OldOrderGrace) {
 		return ctx.Err()
 	}
 	return m.ReadBack(ctx)
--- a/internal/agent/slots/reconcile.go
+++ b/internal/agent/slots/reconcile.go
@@ -25,7 +25,7 @@
 		m.reconcileReplica(v, model, r, now)
 	}
 	for _, s := range m.strays {
-		if s.phase == loaded && m.confirmed && !m.deposed {
+		if s.phase == loaded && m.loadsAllowed && !m.deposed {
 			m.startUnload(s, nil)
 		}
 	}
@@ -192,7 +192,7 @@
 		m.startUnload(a, r)
 		return
 	}
-	if a.phase != unloaded || !now.After(r.retryAt) || m.deposed || !m.confirmed || m.hasStray(r.name.Model) {
+	if a.phase != unloaded || !now.After(r.retryAt) || m.deposed || !m.loadsAllowed || m.hasStray(r.name.Model) {
 		return
 	}
 	a.name, a.bytes = want, res.Adapter.MemoryBytes
--- a/internal/agent/work/work.go
+++ b/internal/agent/worker/work.go
@@ -1,4 +1,4 @@
-package work
+package worker
 
 import (
 	"context"
@@ -9,9 +9,9 @@
 	"go.uber.org/zap"
 
 	"foxtailcroft/internal/agent/claim"
-	"foxtailcroft/internal/agent/gate"
+	"foxtailcroft/internal/agent/limit"
+	"foxtailcroft/internal/agent/runs"
 	"foxtailcroft/internal/agent/slots"
-	"foxtailcroft/internal/agent/tries"
 	"foxtailcroft/internal/back/engine"
 	"foxtailcroft/internal/back/plain"
 	"foxtailcroft/internal/base/crew"
@@ -28,17 +28,17 @@
 type Worker struct {
 	Self     plan.Node
 	Holder   *view.Holder
-	Registry *tries.Registry
+	Registry *runs.Registry
 	// Incarnation distinguishes this process from earlier ones with the same name.
 	Incarnation int64
 	Log         *zap.Logger
 	// Slots and Engine are set if the agent's back end is a model engine.
 	Slots  *slots.Manager
 	Engine engine.Engine
-	// Gate, Plain and Store are set if it is a plain service.
-	Gate  *gate.Gate
-	Plain plain.Service
-	Store store.Store
+	// Limiter, Plain and Store are set if it is a plain service.
+	Limiter *limit.Limiter
+	Plain   plain.Service
+	Store   store.Store
 
 	group     crew.Group
 	draining  atomic.Bool
@@ -98,7 +98,7 @@
 		return w.runReply(run, fault.Of(err)), nil
 	}
 	if fresh && !w.group.Go(func() { w.execute(a) }) {
-		a.CutOff()
+		a.Abort()
 	}
 	return w.runReply(run, nil), nil
 }
@@ -117,19 +117,19 @@
 }
 
 func (w *Worker) currentLoad(run wire.Run) wire.Load {
-	if w.Gate != nil {
-		return w.Gate.Load()
+	if w.Limiter != nil {
+		return w.Limiter.Load()
 	}
 	return w.Slots.ReplicaLoad(run.Model)
 }
 
 // execute runs a new attempt to its end.
-func (w *Worker) execute(a *tries.Attempt) {
+func (w *Worker) execute(a *runs.Attempt) {
 	ctx, cancel := context.WithDeadline(a.Ctx, a.Deadline)
 	defer cancel()
 	var d wire.Done
 	switch {
-	case a.Run.Service != "" && w.Gate != nil && a.Run.Service == w.Self.Service:
+	case a.Run.Service != "" && w.Limiter != nil && a.Run.Service == w.Self.Service:
 		d = w.callService(ctx, a)
 	case a.Run.Service == "" && w.Slots != nil:
 		d = w.generate(ctx, a)
--- a/internal/node/agent/agent.go
+++ b/internal/node/agent/agent.go
@@ -7,12 +7,12 @@
 
 	"go.uber.org/zap"
 
-	"foxtailcroft/internal/agent/asks"
-	"foxtailcroft/internal/agent/gate"
-	"foxtailcroft/internal/agent/guard"
+	"foxtailcroft/internal/agent/fence"
+	"foxtailcroft/internal/agent/limit"
+	"foxtailcroft/internal/agent/permit"
+	"foxtailcroft/internal/agent/runs"
 	"foxtailcroft/internal/agent/slots"
-	"foxtailcroft/internal/agent/tries"
-	"foxtailcroft/internal/agent/work"
+	"foxtailcroft/internal/agent/worker"
 	"foxtailcroft/internal/back/engine"
 	"foxtailcroft/internal/back/plain"
 	"foxtailcroft/internal/base/conf"
@@ -37,11 +37,11 @@
 type Agent struct {
 	Member   *member.Member
 	Web      *httpd.Server
-	Worker   *work.Worker
-	Registry *tries.Registry
+	Worker   *worker.Worker
+	Registry *runs.Registry
 	Slots    *slots.Manager
-	gate     *gate.Gate
-	guard    *guard.Guard
+	limiter  *limit.Limiter
+	guard    *fence.Guard
 	settings conf.Agent
 	log      *zap.Logger
 	deposed  chan struct{}
@@ -59,18 +59,18 @@
 func New(settings conf.Agent, o member.Options, backEnds Backs) (*Agent, func()) {
 	m, closeMember := member.New(o)
 	a := &Agent{
-		Member: m, Web: httpd.New(o.Meters, 0), Registry: tries.NewRegistry(), settings: settings, log: o.Log,
-		guard: guard.New(o.Store, o.Self.Name), deposed: make(chan struct{}),
+		Member: m, Web: httpd.New(o.Meters, 0), Registry: runs.NewRegistry(), settings: settings, log: o.Log,
+		guard: fence.New(o.Store, o.Self.Name), deposed: make(chan struct{}),
 	}
-	a.Worker = &work.Worker{
+	a.Worker = &worker.Worker{
 		Self: o.Self, Incarnation: m.Incarnation, Holder: m.Holder, Registry: a.Registry, Log: o.Log.Named("Work"), Store: o.Store,
 	}
 	closeSlots := func() {}
 	if settings.Engine != nil {
 		closeSlots = a.setUpEngine(backEnds.Engine)
 	} else {
-		a.gate = gate.New(settings.Service.Name)
-		a.Worker.Gate, a.Worker.Plain = a.gate, backEnds.Plain
+		a.limiter = limit.New(settings.Service.Name)
+		a.Worker.Limiter, a.Worker.Plain = a.limiter, backEnds.Plain
 	}
 	a.Worker.Register(m.Mux)
 	peer.OnCall(m.Mux, wire.MethodReport, a.report)
@@ -86,13 +86,13 @@
 func (a *Agent) setUpEngine(eng engine.Engine) func() {
 	s := slots.Settings{
 		Node: a.Member.Self.Name, MemoryBytes: a.settings.Engine.MemoryBytes, OrderTimeout: a.settings.Engine.OrderTimeout.Std(),
-		ReportLag: a.settings.Engine.ReportLag.Std(), Check: a.guard.Check,
-		Note: logs.Audit(a.log),
+		ReportLag: a.settings.Engine.ReportLag.Std(), CheckEpoch: a.guard.CheckEpoch,
+		RecordEviction: logs.Audit(a.log),
 	}
 	if !a.settings.Engine.ChecksFence {
-		s.Grace = predecessorGrace
+		s.OldOrderGrace = predecessorGrace
 	}
-	permits := &asks.Client{Self: a.Member.Self, Holder: a.Member.Holder, Pool: a.Member.Pool}
+	permits := &permit.Client{Self: a.Member.Self, Holder: a.Member.Holder, Pool: a.Member.Pool}
 	manager, closeSlots := slots.New(s, a.Member.Holder, eng, permits, func() { close(a.deposed) }, a.log.Named("Slots"))
 	a.Slots, a.Worker.Slots, a.Worker.Engine = manager, manager, eng
 	return closeSlots
@@ -169,7 +169,7 @@
 	}
 	if a.Slots != nil && ctx.Err() == nil {
 		a.retryEngineRead(ctx, func(ctx context.Context) error { return a.Slots.Recover(ctx, epoch) })
-		a.Slots.Confirm(epoch)
+		a.Slots.AllowLoads(epoch)
 		a.log.Info("endpoint taken over", zap.Int64("Epoch", epoch))
 	}
 }
@@ -204,7 +204,7 @@
 func (a *Agent) pollEngine(ctx context.Context) {
 	for ctx.Err() == nil {
 		pause.For(ctx, readBackInterval)
-		if !a.Slots.Confirmed() {
+		if !a.Slots.LoadsAllowed() {
 			continue
 		}
 		if err := a.Slots.ReadBack(ctx); err != nil && ctx.Err() == nil {
@@ -224,11 +224,11 @@
 		if res, ok := v.Service(a.settings.Service.Name); ok {
 			capacity = res.Service.Slots()
 		}
-		a.gate.SetCapacity(capacity)
+		a.limiter.SetCapacity(capacity)
 		select {
 		case <-changed:
 		case now := <-expire.C:
-			a.Worker.Expire(now)
+			a.Worker.ExpireKeys(now)
 		case <-ctx.Done():
 			return
 		}
@@ -245,11 +245,11 @@
 	a.Member.Announce(a.guard.Epoch())
 	ctx, cancel := context.WithTimeout(ctx, a.settings.Drain.Limit.Std())
 	defer cancel()
-	for a.Registry.Awaited() > 0 && ctx.Err() == nil {
+	for a.Registry.AwaitedCount() > 0 && ctx.Err() == nil {
 		pause.For(ctx, drainPollInterval)
 	}
-	for _, attempt := range a.Registry.Active() {
-		attempt.CutOff()
+	for _, attempt := range a.Registry.ActiveAttempts() {
+		attempt.Abort()
 	}
 }
 
--- a/test/proofs/rig_test.go
+++ b/test/proofs/rig_test.go
@@ -506,7 +506,7 @@
 // unplanned returns what a node still lacks of the resources and their plans.
 func (r *rig) unplanned(list []kinds.Resource) string {
 	for _, a := range r.allAgents() {
-		if a.Slots != nil && !a.Slots.Confirmed() {
+		if a.Slots != nil && !a.Slots.LoadsAllowed() {
 			return a.name + " has not taken over"
 		}
 		for _, res := range list {
