--- a/cmd/foxtailcroft/dev.go
+++ b/cmd/foxtailcroft/dev.go
@@ -86,7 +86,7 @@
 		return err
 	}
 	return check.Run(ctx, out, client, d.Entries, requests, func(service, body string) int {
-		if book := d.Books[service]; book != nil {
+		if book := d.RunLogs[service]; book != nil {
 			return book.Runs(body)
 		}
 		return 0
--- a/internal/agent/slots/evict_test.go
+++ b/internal/agent/slots/evict_test.go
@@ -14,7 +14,7 @@
 	"foxtailcroft/internal/core/kinds"
 	"foxtailcroft/internal/core/plan"
 	"foxtailcroft/internal/core/view"
-	"foxtailcroft/internal/standin/motor"
+	"foxtailcroft/internal/standin/engsim"
 )
 
 // holderWithModels returns a holder whose view shows models of 60 bytes, each with a slot at "e".
@@ -41,7 +41,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		var auditRecords []audit.Record
-		eng := motor.New(motor.Settings{MemoryBytes: 100, LoadTime: time.Second, UnloadTime: time.Second})
+		eng := engsim.New(engsim.Settings{MemoryBytes: 100, LoadTime: time.Second, UnloadTime: time.Second})
 		m, stop := New(Settings{Node: "e", MemoryBytes: 100, OrderTimeout: time.Minute, RecordEviction: func(r audit.Record) { auditRecords = append(auditRecords, r) }},
 			holderWithModels(g, "first", "second"), eng, noopPermits{}, func() {}, zap.NewNop())
 		defer stop()
--- a/internal/front/sched/planner_test.go
+++ b/internal/front/sched/planner_test.go
@@ -22,7 +22,7 @@
 	"foxtailcroft/internal/plat/follow"
 	"foxtailcroft/internal/plat/store"
 	"foxtailcroft/internal/policy/loads"
-	"foxtailcroft/internal/standin/platf"
+	"foxtailcroft/internal/standin/kvsim"
 	"foxtailcroft/platform"
 	"foxtailcroft/platform/mimic"
 	"foxtailcroft/test/draws"
@@ -42,7 +42,7 @@
 	g         *WithT
 	ctx       context.Context
 	net       *pipes.Network
-	memory    *platf.Memory
+	memory    *kvsim.MemoryStore
 	orderBook *mimic.Book
 	servers   []*mimic.Server
 	stops     []func()
@@ -69,16 +69,16 @@
 // partitionableStore is one front's access to the store. While partitioned is set, its
 // calls go to a store that is unavailable.
 type partitionableStore struct {
-	*platf.Memory
-	unreachable *platf.Memory
+	*kvsim.MemoryStore
+	unreachable *kvsim.MemoryStore
 	partitioned atomic.Bool
 }
 
-func (c *partitionableStore) current() *platf.Memory {
+func (c *partitionableStore) current() *kvsim.MemoryStore {
 	if c.partitioned.Load() {
 		return c.unreachable
 	}
-	return c.Memory
+	return c.MemoryStore
 }
 
 func (c *partitionableStore) KeepAlive(ctx context.Context, id int64) (bool, error) {
@@ -108,7 +108,7 @@
 func runClusterWith(t *testing.T, checksFence bool, servers, fronts, models int, test func(*cluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		c := &cluster{g: NewWithT(t), ctx: ctx, net: pipes.New(), memory: platf.NewMemory(1), orderBook: &mimic.Book{}, checksFence: checksFence}
+		c := &cluster{g: NewWithT(t), ctx: ctx, net: pipes.New(), memory: kvsim.NewMemoryStore(1), orderBook: &mimic.Book{}, checksFence: checksFence}
 		doc := `{"version":1,"routes":[],"services":[{"name":"llm","engine":{"slots":8,"weightsMb":220000,"adapterSlots":8,"loadsPerS":2,"models":[`
 		for i := range models {
 			if i > 0 {
@@ -162,9 +162,9 @@
 func (c *cluster) addFront(i int) {
 	ctx, cancel := context.WithCancel(c.ctx)
 	began := time.Now()
-	unreachable := platf.NewMemory(1)
-	unreachable.SetFaults(platf.Faults{Away: true})
-	p := &testFront{store: &partitionableStore{Memory: c.memory, unreachable: unreachable}, cancel: cancel}
+	unreachable := kvsim.NewMemoryStore(1)
+	unreachable.SetFaults(kvsim.Faults{Away: true})
+	p := &testFront{store: &partitionableStore{MemoryStore: c.memory, unreachable: unreachable}, cancel: cancel}
 	name, log := fmt.Sprintf("front-%d", i), zap.NewNop().Sugar()
 	layout := follow.Layout{DocumentKey: platform.ConfigKey, InstancePrefix: platform.ServerPrefix, Prefixes: []string{platform.OperatorPrefix, platform.ServerPrefix, follow.OwnPrefix}}
 	p.follower = follow.New(name, p.store, platform.Dialect{}, layout, follow.Times{Returning: 2 * time.Second, Gather: 600 * time.Millisecond}, log)
--- a/internal/lab/emul/play.go
+++ b/internal/lab/emul/play.go
@@ -39,15 +39,15 @@
 	Seed       uint64
 }
 
-// Spares returns the options of the spares desk, whose servers can hold nearly
+// SparesOptions returns the options of the spares desk, whose servers can hold nearly
 // all of its models at once.
-func Spares(load float64, seed uint64) Options {
+func SparesOptions(load float64, seed uint64) Options {
 	return Options{Servers: 12, Models: 39, ModelsPerServer: 3, Duration: dayLength, LoadFactor: load, Seed: seed}
 }
 
-// Blankets returns the options of the blanket-matching service, where replicas
+// BlanketsOptions returns the options of the blanket-matching service, where replicas
 // of busy models evict other models.
-func Blankets(load float64, seed uint64) Options {
+func BlanketsOptions(load float64, seed uint64) Options {
 	return Options{Servers: 9, Models: 19, ModelsPerServer: 2, Duration: dayLength, LoadFactor: blanketsRateRatio * load, Seed: seed}
 }
 
--- a/internal/lab/trial/run.go
+++ b/internal/lab/replay/run.go
@@ -1,4 +1,4 @@
-package trial
+package replay
 
 import (
 	"cmp"
@@ -6,7 +6,7 @@
 	"fmt"
 	"time"
 
-	"foxtailcroft/internal/lab/flows"
+	"foxtailcroft/internal/lab/traces"
 	"foxtailcroft/internal/policy/evict"
 	"foxtailcroft/internal/policy/idle"
 	"foxtailcroft/internal/policy/permit"
@@ -68,7 +68,7 @@
 	idleSince   time.Duration
 	quietSince  time.Duration
 	hasArrivals bool
-	queue       []flows.Arrival
+	queue       []traces.Arrival
 	// idlePeriod is a counter that tells unload timers of earlier idle periods
 	// from that of the current one.
 	idlePeriod int
@@ -80,7 +80,7 @@
 
 // simulation is the state of one trial.
 type simulation struct {
-	workload     flows.Workload
+	workload     traces.Trace
 	policy       KeepAlivePolicy
 	options      Options
 	now          time.Duration
@@ -100,7 +100,7 @@
 }
 
 // Run simulates a workload under a keep-alive policy and returns its metrics.
-func Run(w flows.Workload, k KeepAlivePolicy, options Options) Result {
+func Run(w traces.Trace, k KeepAlivePolicy, options Options) Result {
 	r := &simulation{
 		workload: w, policy: k, options: options, lostServers: map[int]bool{}, pendingLoads: map[string]*slot{}, startTime: time.Unix(0, 0),
 		arrivals: make([][]time.Duration, len(w.Models)), gaps: make([]idle.Gaps, len(w.Models)),
@@ -179,7 +179,7 @@
 }
 
 // arrive starts a request or queues it until its model is loaded.
-func (r *simulation) arrive(a flows.Arrival) {
+func (r *simulation) arrive(a traces.Arrival) {
 	r.result.Requests++
 	s := r.slots[a.Model]
 	s.arrivalCount++
@@ -202,7 +202,7 @@
 }
 
 // startRequest runs a request on a loaded replica.
-func (r *simulation) startRequest(s *slot, a flows.Arrival) {
+func (r *simulation) startRequest(s *slot, a traces.Arrival) {
 	r.endIdle(s)
 	s.running++
 	r.schedule(r.now+a.ServiceTime, func() {
--- a/internal/node/front/front_test.go
+++ b/internal/node/front/front_test.go
@@ -20,7 +20,7 @@
 	"foxtailcroft/internal/base/tree"
 	"foxtailcroft/internal/plat/follow"
 	"foxtailcroft/internal/plat/store"
-	"foxtailcroft/internal/standin/platf"
+	"foxtailcroft/internal/standin/kvsim"
 	"foxtailcroft/platform"
 	"foxtailcroft/platform/mimic"
 	"foxtailcroft/test/pipes"
@@ -31,7 +31,7 @@
 	g          *WithT
 	ctx        context.Context
 	net        *pipes.Network
-	memory     *platf.Memory
+	memory     *kvsim.MemoryStore
 	store      *mimic.Store
 	executions *mimic.Book
 	client     *http.Client
@@ -42,7 +42,7 @@
 // withHarness runs a test with a new harness.
 func withHarness(t *testing.T, test func(*harness)) {
 	synctest.Test(t, func(t *testing.T) {
-		r := &harness{g: NewWithT(t), ctx: t.Context(), net: pipes.New(), memory: platf.NewMemory(1), executions: &mimic.Book{}}
+		r := &harness{g: NewWithT(t), ctx: t.Context(), net: pipes.New(), memory: kvsim.NewMemoryStore(1), executions: &mimic.Book{}}
 		r.store = mimic.NewStore(r.memory)
 		r.net.Serve("store:1", r.store)
 		transport := &http.Transport{DialContext: r.dial}
--- a/internal/node/local/bench_test.go
+++ b/internal/node/local/bench_test.go
@@ -22,7 +22,7 @@
 	"foxtailcroft/internal/core/kinds"
 	"foxtailcroft/internal/node/check"
 	"foxtailcroft/internal/oper/remote"
-	"foxtailcroft/internal/standin/motor"
+	"foxtailcroft/internal/standin/engsim"
 )
 
 const benchModel = "bench"
@@ -32,7 +32,7 @@
 	b.Helper()
 	set := Default()
 	set.Entries, set.Engines, set.Services = 1, 1, nil
-	set.Engine = motor.Settings{MemoryBytes: 64 * gigabyte, TokenTime: tokenTime, CheckFence: true}
+	set.Engine = engsim.Settings{MemoryBytes: 64 * gigabyte, InterTokenLatency: tokenTime, CheckFence: true}
 	ctx, cancel := context.WithCancel(context.Background())
 	d, closeAll, err := Start(ctx, set, zap.NewNop())
 	if err != nil {
--- a/internal/node/local/local.go
+++ b/internal/node/local/local.go
@@ -22,9 +22,9 @@
 	"foxtailcroft/internal/node/member"
 	"foxtailcroft/internal/plat/fleet"
 	"foxtailcroft/internal/plat/store"
-	"foxtailcroft/internal/standin/motor"
-	"foxtailcroft/internal/standin/platf"
-	"foxtailcroft/internal/standin/shop"
+	"foxtailcroft/internal/standin/engsim"
+	"foxtailcroft/internal/standin/kvsim"
+	"foxtailcroft/internal/standin/svcsim"
 )
 
 const (
@@ -39,7 +39,7 @@
 	// Services lists the plain services; each gets ServiceEndpoints endpoints.
 	Services         []string
 	ServiceEndpoints int
-	Engine           motor.Settings
+	Engine           engsim.Settings
 	Seed             uint64
 }
 
@@ -47,18 +47,18 @@
 func Default() Settings {
 	return Settings{
 		Entries: 3, Engines: 6, Services: []string{"order-desk", "bookings"}, ServiceEndpoints: 2, Seed: 1,
-		Engine: motor.Settings{
+		Engine: engsim.Settings{
 			MemoryBytes: 64 * gigabyte, CheckFence: true, LoadTime: 800 * time.Millisecond, AdapterTime: 8 * time.Millisecond,
-			UnloadTime: 100 * time.Millisecond, FirstToken: 60 * time.Millisecond, TokenTime: 10 * time.Millisecond, ReportLag: 200 * time.Millisecond,
+			UnloadTime: 100 * time.Millisecond, TimeToFirstToken: 60 * time.Millisecond, InterTokenLatency: 10 * time.Millisecond, MaxReportAge: 200 * time.Millisecond,
 		},
 	}
 }
 
 // Deployment is a running deployment.
 type Deployment struct {
-	Platform *platf.Platform
-	Motors   []*motor.Motor
-	Books    map[string]*shop.Book
+	Platform *kvsim.Platform
+	Engines  []*engsim.Engine
+	RunLogs  map[string]*svcsim.RunLog
 	// Entries and PlatformURL are base URLs.
 	Entries     []string
 	PlatformURL string
@@ -78,7 +78,7 @@
 // Start starts a deployment, which runs until the returned function is called.
 func Start(ctx context.Context, settings Settings, log *zap.Logger) (*Deployment, func(), error) {
 	t, closeTree := tree.New(ctx, log)
-	d := &Deployment{Platform: platf.NewPlatform(settings.Seed, 0, nil), Books: map[string]*shop.Book{}, settings: settings, tree: t, log: log}
+	d := &Deployment{Platform: kvsim.NewPlatform(settings.Seed, 0, nil), RunLogs: map[string]*svcsim.RunLog{}, settings: settings, tree: t, log: log}
 	if err := d.startAll(); err != nil {
 		closeTree()
 		return nil, nil, err
@@ -96,13 +96,13 @@
 	if d.PlatformURL, err = d.serveHTTP("StandinPlatform", d.Platform.Handler()); err != nil {
 		return err
 	}
-	d.settings.Engine.Weights = motor.NewWeights(2)
+	d.settings.Engine.WeightStore = engsim.NewWeightStore(2)
 	var starts []func() error
 	for i := range d.settings.Engines {
 		starts = append(starts, func() error { return d.startEngine(i) })
 	}
 	for _, name := range d.settings.Services {
-		d.Books[name] = shop.NewBook()
+		d.RunLogs[name] = svcsim.NewRunLog()
 		for i := range d.settings.ServiceEndpoints {
 			starts = append(starts, func() error { return d.startService(name, i) })
 		}
@@ -158,8 +158,8 @@
 const storeCallsPerSecond = 100
 
 func (d *Deployment) startEngine(i int) error {
-	m := motor.New(d.settings.Engine)
-	d.Motors = append(d.Motors, m)
+	m := engsim.New(d.settings.Engine)
+	d.Engines = append(d.Engines, m)
 	url, err := d.serveHTTP("StandinEngine", m.Handler())
 	if err != nil {
 		return err
@@ -174,7 +174,7 @@
 	settings := conf.DefaultAgent()
 	settings.Engine = &conf.Engine{
 		URL: url, MemoryBytes: d.settings.Engine.MemoryBytes, ChecksFence: d.settings.Engine.CheckFence,
-		ReportLag: kinds.Duration(d.settings.Engine.ReportLag), OrderTimeout: kinds.Duration(time.Minute),
+		ReportLag: kinds.Duration(d.settings.Engine.MaxReportAge), OrderTimeout: kinds.Duration(time.Minute),
 	}
 	d.runAgent(settings, o, agent.Backs{Engine: engine.NewClient(url, &http.Transport{MaxIdleConnsPerHost: maxIdleEngineConns})})
 	return nil
@@ -184,7 +184,7 @@
 const maxIdleEngineConns = 64
 
 func (d *Deployment) startService(name string, i int) error {
-	url, err := d.serveHTTP("StandinService", shop.New(name, d.Books[name]).Handler())
+	url, err := d.serveHTTP("StandinService", svcsim.New(name, d.RunLogs[name]).Handler())
 	if err != nil {
 		return err
 	}
--- a/test/contract/back_test.go
+++ b/test/contract/back_test.go
@@ -13,9 +13,9 @@
 	"foxtailcroft/internal/back/engine"
 	"foxtailcroft/internal/back/plain"
 	"foxtailcroft/internal/plat/fleet"
-	"foxtailcroft/internal/standin/motor"
-	"foxtailcroft/internal/standin/platf"
-	"foxtailcroft/internal/standin/shop"
+	"foxtailcroft/internal/standin/engsim"
+	"foxtailcroft/internal/standin/kvsim"
+	"foxtailcroft/internal/standin/svcsim"
 )
 
 var (
@@ -31,12 +31,12 @@
 var _ = Describe("engine", func() {
 	for name, open := range engines() {
 		Context(name, func() {
-			var m *motor.Motor
+			var m *engsim.Engine
 			var e engine.Engine
 			var ctx context.Context
 
 			BeforeEach(func() {
-				m = motor.New(motor.Settings{MemoryBytes: 100, CheckFence: true, LoadTime: 20 * time.Millisecond, UnloadTime: 5 * time.Millisecond, TokenTime: time.Millisecond})
+				m = engsim.New(engsim.Settings{MemoryBytes: 100, CheckFence: true, LoadTime: 20 * time.Millisecond, UnloadTime: 5 * time.Millisecond, InterTokenLatency: time.Millisecond})
 				e = open(m)
 				var cancel context.CancelFunc
 				ctx, cancel = context.WithTimeout(context.Background(), 20*time.Second)
@@ -70,14 +70,14 @@
 				refused := &engine.Fenced{Given: 1, Current: 2}
 				err := e.Load(ctx, engine.Order{Item: base, Bytes: 1, Fence: 1, Check: func(context.Context) error { return refused }})
 				Expect(err).To(MatchError(refused))
-				Expect(m.Holds()).To(BeEmpty())
+				Expect(m.LoadedItems()).To(BeEmpty())
 			})
 
 			It("unloads, also what is not there", func() {
 				Expect(load(base, 60, 1)).To(Succeed())
 				Expect(e.Unload(ctx, engine.Order{Item: base, Fence: 1})).To(Succeed())
 				Expect(e.Unload(ctx, engine.Order{Item: base, Fence: 1})).To(Succeed())
-				Expect(m.Holds()).To(BeEmpty())
+				Expect(m.LoadedItems()).To(BeEmpty())
 			})
 
 			It("reports what it holds", func() {
@@ -94,7 +94,7 @@
 				finish, err := e.Generate(ctx, engine.Request{Item: base, Body: chat("5")}, func(t engine.Token) error { text += t.Text; return nil })
 				Expect(err).NotTo(HaveOccurred())
 				Expect(finish).To(Equal("stop"))
-				Expect(text).To(Equal(motor.Answer(prompt, 5)))
+				Expect(text).To(Equal(engsim.Completion(prompt, 5)))
 			})
 
 			It("serves an adapter on its base model", func() {
@@ -106,7 +106,7 @@
 
 			It("continues a stream after the tokens that were delivered", func() {
 				Expect(load(base, 60, 1)).To(Succeed())
-				m.SetFaults(motor.Faults{BreakAfter: 3})
+				m.SetFaults(engsim.Faults{BreakAfter: 3})
 				text, next := "", 0
 				take := func(t engine.Token) error { text += t.Text; next = t.Index + 1; return nil }
 				_, err := e.Generate(ctx, engine.Request{Item: base, Body: chat("8")}, take)
@@ -115,7 +115,7 @@
 				Expect(broken.Tokens).To(Equal(3))
 				_, err = e.Generate(ctx, engine.Request{Item: base, Body: chat("8"), SkipTokens: next, Prefix: text}, take)
 				Expect(err).NotTo(HaveOccurred())
-				Expect(text).To(Equal(motor.Answer(prompt, 8)))
+				Expect(text).To(Equal(engsim.Completion(prompt, 8)))
 			})
 
 			It("says that an item is not loaded", func() {
@@ -139,13 +139,13 @@
 var _ = Describe("plain service", func() {
 	for name, open := range services() {
 		Context(name, func() {
-			var s *shop.Shop
-			var book *shop.Book
+			var s *svcsim.Endpoint
+			var book *svcsim.RunLog
 			var p plain.Service
 
 			BeforeEach(func() {
-				book = shop.NewBook()
-				s = shop.New("desk", book)
+				book = svcsim.NewRunLog()
+				s = svcsim.New("desk", book)
 				p = open(s)
 			})
 
@@ -164,7 +164,7 @@
 			})
 
 			It("reports a lost answer as a call that may have run", func() {
-				s.SetFaults(shop.Faults{LoseAnswers: 1})
+				s.SetFaults(svcsim.Faults{LoseAnswers: 1})
 				_, err := call(5 * time.Second)
 				var lost *plain.Lost
 				Expect(errors.As(err, &lost)).To(BeTrue())
@@ -172,7 +172,7 @@
 			})
 
 			It("reports a hanging call as one that may have run, at its deadline", func() {
-				s.SetFaults(shop.Faults{Hang: true})
+				s.SetFaults(svcsim.Faults{Hang: true})
 				_, err := call(100 * time.Millisecond)
 				var lost *plain.Lost
 				Expect(errors.As(err, &lost)).To(BeTrue())
@@ -192,7 +192,7 @@
 var _ = Describe("instance list", func() {
 	for name, open := range lists() {
 		It(name+" shows live and leaving instances after the lag", func() {
-			p := platf.NewPlatform(1, 100*time.Millisecond, nil)
+			p := kvsim.NewPlatform(1, 100*time.Millisecond, nil)
 			l := open(p)
 			want := []fleet.Instance{{Name: "e", Role: "agent", Address: "a:1", Region: "r", Domain: "d", Leaving: true}}
 			p.SetInstances(want)
--- a/test/contract/store_test.go
+++ b/test/contract/store_test.go
@@ -10,14 +10,14 @@
 
 	"foxtailcroft/internal/core/fault"
 	"foxtailcroft/internal/plat/store"
-	"foxtailcroft/internal/standin/platf"
+	"foxtailcroft/internal/standin/kvsim"
 )
 
 var _ = Describe("store", func() {
 	for name, open := range stores() {
 		Context(name, func() {
 			var s store.Store
-			var m *platf.Memory
+			var m *kvsim.MemoryStore
 			var ctx context.Context
 
 			BeforeEach(func() {
@@ -127,7 +127,7 @@
 			})
 
 			It("reports a call that got no answer as away, unsettled for writes", func() {
-				m.SetFaults(platf.Faults{Away: true})
+				m.SetFaults(kvsim.Faults{Away: true})
 				_, err := s.Commit(ctx, store.Txn{Puts: []store.Put{{Key: "x"}}})
 				var away *fault.Away
 				Expect(errors.As(err, &away)).To(BeTrue())
@@ -137,11 +137,11 @@
 			})
 
 			It("settles a write whose answer is lost", func() {
-				m.SetFaults(platf.Faults{LoseAnswers: 0.8})
+				m.SetFaults(kvsim.Faults{LoseAnswers: 0.8})
 				res, err := store.Settle(ctx, s, store.Txn{If: []store.Compare{{Key: "k"}}, Puts: []store.Put{{Key: "k", Value: []byte("1")}, {Key: "witness"}}}, "witness")
 				Expect(err).NotTo(HaveOccurred())
 				Expect(res.Succeeded).To(BeTrue())
-				m.SetFaults(platf.Faults{})
+				m.SetFaults(kvsim.Faults{})
 				kv, _, err := s.Get(ctx, "k")
 				Expect(err).NotTo(HaveOccurred())
 				Expect(kv.Revision).To(Equal(res.Revision))
--- a/test/procs/procs_test.go
+++ b/test/procs/procs_test.go
@@ -23,7 +23,7 @@
 	. "github.com/onsi/gomega"
 	"github.com/sourcegraph/conc"
 
-	"foxtailcroft/internal/standin/motor"
+	"foxtailcroft/internal/standin/engsim"
 )
 
 func TestProcesses(t *testing.T) {
@@ -245,7 +245,7 @@
 			text, status, err := d.chat(entry, prompt, 60)
 			mu.Lock()
 			defer mu.Unlock()
-			if text == motor.Answer([]byte(messages(prompt)), 60) {
+			if text == engsim.Completion([]byte(messages(prompt)), 60) {
 				whole++
 				return
 			}
--- a/test/proofs/answers_test.go
+++ b/test/proofs/answers_test.go
@@ -8,7 +8,7 @@
 
 	. "github.com/onsi/gomega"
 
-	"foxtailcroft/internal/standin/motor"
+	"foxtailcroft/internal/standin/engsim"
 )
 
 // TestEachRouterGetsItsOwnWholeAnswer breaks streams and links under many
@@ -20,7 +20,7 @@
 	}{
 		{"no fault", func(*rig) {}},
 		{"a stream breaks and continues on the same engine", func(r *rig) {
-			r.motors[r.holder("m", 0)].SetFaults(motor.Faults{BreakAfter: 5})
+			r.motors[r.holder("m", 0)].SetFaults(engsim.Faults{BreakAfter: 5})
 		}},
 		{"the replica dies in mid-stream", func(r *rig) { r.kill(r.agentNamed(r.holder("m", 0)).process) }},
 		{"the agent's links are cut", func(r *rig) {
--- a/test/proofs/config_test.go
+++ b/test/proofs/config_test.go
@@ -12,7 +12,7 @@
 
 	"foxtailcroft/internal/core/kinds"
 	"foxtailcroft/internal/core/view"
-	"foxtailcroft/internal/standin/platf"
+	"foxtailcroft/internal/standin/kvsim"
 )
 
 // inForceWithin is the users' bound for an accepted configuration.
@@ -89,23 +89,23 @@
 		mend  func(r *rig)
 	}{
 		{"no fault", func(*rig) {}, nil},
-		{"write's answer lost", func(r *rig) { r.platform.Store.SetFaults(platf.Faults{LoseAnswers: 0.7}) }, nil},
+		{"write's answer lost", func(r *rig) { r.platform.Store.SetFaults(kvsim.Faults{LoseAnswers: 0.7}) }, nil},
 		{"a relay is dead", func(r *rig) { r.kill(r.agentNamed(r.relay()).process) }, nil},
 		{"a relay's links are silent", func(r *rig) { r.net.silence("addr-"+r.relay(), "") }, nil},
 		{"a relay is cut off from the store", func(r *rig) { r.agentNamed(r.relay()).gate.set(true) }, nil},
 		{"watches are mute for two seconds", func(r *rig) {
-			r.platform.Store.SetFaults(platf.Faults{MuteWatches: true})
+			r.platform.Store.SetFaults(kvsim.Faults{MuteWatches: true})
 			r.group.Go(func() {
 				time.Sleep(2 * time.Second)
-				r.platform.Store.SetFaults(platf.Faults{})
+				r.platform.Store.SetFaults(kvsim.Faults{})
 			})
 		}, nil},
 		{"store fails over to a state that reads old", func(r *rig) {
 			r.group.Go(func() {
 				time.Sleep(100 * time.Millisecond)
-				r.platform.Store.SetFaults(platf.Faults{StaleBy: 3})
+				r.platform.Store.SetFaults(kvsim.Faults{StaleBy: 3})
 				time.Sleep(3 * time.Second)
-				r.platform.Store.SetFaults(platf.Faults{})
+				r.platform.Store.SetFaults(kvsim.Faults{})
 			})
 		}, nil},
 		{"a node is parted from all and comes back", func(r *rig) {
@@ -202,10 +202,10 @@
 		warm := ask{model: "m", prompt: "x", tokens: 3, timeout: 30 * time.Second}
 		r.g.Expect(r.anyEntry().chat(warm).status).To(Equal(http.StatusOK))
 		holder := r.holder("m", 0)
-		r.platform.Store.SetFaults(platf.Faults{Away: true, LoseAnswers: 0})
+		r.platform.Store.SetFaults(kvsim.Faults{Away: true, LoseAnswers: 0})
 		r.kill(r.agentNamed(holder).process)
 		time.Sleep(time.Second)
-		r.platform.Store.SetFaults(platf.Faults{})
+		r.platform.Store.SetFaults(kvsim.Faults{})
 		r.restartCutOff(holder)
 		r.eventually(10*time.Second, func() string { return r.behind(1) })
 		r.g.Expect(r.anyEntry().chat(warm).status).To(Equal(http.StatusOK), "the replica that the engine holds is served")
--- a/test/proofs/history_test.go
+++ b/test/proofs/history_test.go
@@ -13,7 +13,7 @@
 	"github.com/anishathalye/porcupine"
 	. "github.com/onsi/gomega"
 
-	"foxtailcroft/internal/standin/platf"
+	"foxtailcroft/internal/standin/kvsim"
 )
 
 // write is one operator's change of a policy that expects a revision.
@@ -72,7 +72,7 @@
 		r.entry("entry-0", "d0")
 		r.entry("entry-1", "d1")
 		time.Sleep(5 * time.Second)
-		r.platform.Store.SetFaults(platf.Faults{LoseAnswers: 0.4, Delay: 5 * time.Millisecond})
+		r.platform.Store.SetFaults(kvsim.Faults{LoseAnswers: 0.4, Delay: 5 * time.Millisecond})
 		var clock atomic.Int64
 		var mu sync.Mutex
 		var history []porcupine.Operation
@@ -97,7 +97,7 @@
 			})
 		}
 		at(operators...)
-		r.platform.Store.SetFaults(platf.Faults{})
+		r.platform.Store.SetFaults(kvsim.Faults{})
 		accepted := 0
 		for _, op := range history {
 			if op.Output.(verdict).status == http.StatusOK {
--- a/test/proofs/load_test.go
+++ b/test/proofs/load_test.go
@@ -17,7 +17,7 @@
 			r.entry(fmt.Sprintf("entry-%d", i), "d0")
 		}
 		s := motorSettings()
-		s.LoadTime, s.FirstToken = 20*time.Second, 0
+		s.LoadTime, s.TimeToFirstToken = 20*time.Second, 0
 		r.engineAgent("engine-0", "d0", s)
 		wide := model("quote", 20, 1)
 		wide.Model.Concurrency = 256
--- a/test/proofs/loaded_test.go
+++ b/test/proofs/loaded_test.go
@@ -12,7 +12,7 @@
 	. "github.com/onsi/gomega"
 
 	"foxtailcroft/internal/plat/store"
-	"foxtailcroft/internal/standin/platf"
+	"foxtailcroft/internal/standin/kvsim"
 )
 
 // burst sends n requests at once through each entry and returns how they ended.
@@ -77,10 +77,10 @@
 			r.restart(holder)
 		}},
 		{"store away through all of it", func(r *rig) {
-			r.platform.Store.SetFaults(platf.Faults{Away: true})
+			r.platform.Store.SetFaults(kvsim.Faults{Away: true})
 		}},
 		{"plan writes' answers lost", func(r *rig) {
-			r.platform.Store.SetFaults(platf.Faults{LoseAnswers: 0.5})
+			r.platform.Store.SetFaults(kvsim.Faults{LoseAnswers: 0.5})
 			r.put(r.anyEntry(), model("other", 30, 2))
 			r.put(r.anyEntry(), model("quote", 20, 1))
 		}},
@@ -102,7 +102,7 @@
 			_, err := r.platform.Store.Commit(context.Background(), store.Txn{Deletes: []string{store.PlannerPrefix + "lease"}})
 			r.g.Expect(err).NotTo(HaveOccurred())
 			r.eventually(10*time.Second, func() string {
-				if _, held := r.platform.Store.Peek(store.PlannerPrefix + "lease"); !held {
+				if _, held := r.platform.Store.ValueIgnoringFaults(store.PlannerPrefix + "lease"); !held {
 					return "no second planner"
 				}
 				return ""
@@ -129,7 +129,7 @@
 				return ""
 			})
 			r.kill(r.agentNamed(holder).process)
-			r.platform.Store.SetFaults(platf.Faults{Away: true})
+			r.platform.Store.SetFaults(kvsim.Faults{Away: true})
 			r.restart(holder)
 		}},
 	}
@@ -150,7 +150,7 @@
 				for _, e := range ends {
 					r.g.Expect(e.took).To(BeNumerically("<=", 40*time.Second))
 				}
-				r.platform.Store.SetFaults(platf.Faults{})
+				r.platform.Store.SetFaults(kvsim.Faults{})
 				time.Sleep(40 * time.Second)
 				t.Logf("ends %v, loads %d", statuses(ends), r.loads())
 			})
--- a/test/proofs/memory_test.go
+++ b/test/proofs/memory_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/gomega"
 
 	"foxtailcroft/internal/core/kinds"
-	"foxtailcroft/internal/standin/motor"
+	"foxtailcroft/internal/standin/engsim"
 )
 
 func adapter(name, base string, gb int64) kinds.Resource {
@@ -20,22 +20,22 @@
 func TestMemoryNeverOvercommitted(t *testing.T) {
 	cases := []struct {
 		name     string
-		settings func(s *motor.Settings)
-		fault    func(r *rig, m *motor.Motor)
+		settings func(s *engsim.Settings)
+		fault    func(r *rig, m *engsim.Engine)
 	}{
 		{"loads and adapters racing", nil, nil},
-		{"unload's answer lost", nil, func(_ *rig, m *motor.Motor) { m.SetFaults(motor.Faults{LoseAnswers: 6}) }},
-		{"loads fail", nil, func(_ *rig, m *motor.Motor) { m.SetFaults(motor.Faults{FailLoads: 4}) }},
-		{"unload slower than the next load", func(s *motor.Settings) { s.UnloadTime, s.LoadTime = 6*time.Second, time.Second }, nil},
-		{"report lags by three seconds", func(s *motor.Settings) { s.ReportLag = 3 * time.Second }, nil},
+		{"unload's answer lost", nil, func(_ *rig, m *engsim.Engine) { m.SetFaults(engsim.Faults{LoseAnswers: 6}) }},
+		{"loads fail", nil, func(_ *rig, m *engsim.Engine) { m.SetFaults(engsim.Faults{FailLoads: 4}) }},
+		{"unload slower than the next load", func(s *engsim.Settings) { s.UnloadTime, s.LoadTime = 6*time.Second, time.Second }, nil},
+		{"report lags by three seconds", func(s *engsim.Settings) { s.MaxReportAge = 3 * time.Second }, nil},
 		{"predecessor's load lands late, engine checks fencing numbers", nil, killInLoad},
-		{"predecessor's load lands late, engine ignores fencing numbers", func(s *motor.Settings) { s.CheckFence = false }, killInLoad},
-		{"orders hang for a while", nil, func(_ *rig, m *motor.Motor) {
-			m.SetFaults(motor.Faults{HangOrders: true})
+		{"predecessor's load lands late, engine ignores fencing numbers", func(s *engsim.Settings) { s.CheckFence = false }, killInLoad},
+		{"orders hang for a while", nil, func(_ *rig, m *engsim.Engine) {
+			m.SetFaults(engsim.Faults{HangOrders: true})
 			time.Sleep(5 * time.Second)
-			m.SetFaults(motor.Faults{})
+			m.SetFaults(engsim.Faults{})
 		}},
-		{"a declared model changes its size and version", nil, func(r *rig, _ *motor.Motor) {
+		{"a declared model changes its size and version", nil, func(r *rig, _ *engsim.Engine) {
 			grown := model("m0", 40, 1)
 			grown.Model.Version = "2"
 			r.put(r.anyEntry(), grown)
@@ -76,7 +76,7 @@
 	}
 }
 
-func killInLoad(r *rig, _ *motor.Motor) {
+func killInLoad(r *rig, _ *engsim.Engine) {
 	for range 3 {
 		time.Sleep(1500 * time.Millisecond)
 		r.kill(r.agentNamed("engine-0").process)
@@ -99,7 +99,7 @@
 		r.g.Expect(r.anyEntry().do("DELETE", "/admin/v1/Model/m0", "", nil).Code).To(Equal(200))
 		r.restart("engine-0")
 		r.eventually(time.Minute, func() string {
-			return fmt.Sprint(r.motors["engine-0"].Holds())[1 : len(fmt.Sprint(r.motors["engine-0"].Holds()))-1]
+			return fmt.Sprint(r.motors["engine-0"].LoadedItems())[1 : len(fmt.Sprint(r.motors["engine-0"].LoadedItems()))-1]
 		})
 	})
 }
--- a/test/proofs/once_test.go
+++ b/test/proofs/once_test.go
@@ -10,8 +10,8 @@
 	. "github.com/onsi/gomega"
 
 	"foxtailcroft/internal/core/kinds"
-	"foxtailcroft/internal/standin/platf"
-	"foxtailcroft/internal/standin/shop"
+	"foxtailcroft/internal/standin/kvsim"
+	"foxtailcroft/internal/standin/svcsim"
 )
 
 // bookings starts two entries and two endpoints of a service.
@@ -39,11 +39,11 @@
 	}{
 		{"no fault", func(*rig) {}},
 		{"service's answers lost", func(r *rig) {
-			r.shops["book-0"].SetFaults(shop.Faults{LoseAnswers: 3})
-			r.shops["book-1"].SetFaults(shop.Faults{LoseAnswers: 3})
+			r.shops["book-0"].SetFaults(svcsim.Faults{LoseAnswers: 3})
+			r.shops["book-1"].SetFaults(svcsim.Faults{LoseAnswers: 3})
 		}},
 		{"service slow, owner killed", func(r *rig) {
-			r.shops["book-0"].SetFaults(shop.Faults{Delay: 500 * time.Millisecond})
+			r.shops["book-0"].SetFaults(svcsim.Faults{Delay: 500 * time.Millisecond})
 			time.Sleep(300 * time.Millisecond)
 			r.kill(r.agentNamed("book-0").process)
 		}},
@@ -52,12 +52,12 @@
 			time.Sleep(time.Second)
 			r.serviceAgent("book-0", "d0", "book")
 		}},
-		{"claim writes' answers lost", func(r *rig) { r.platform.Store.SetFaults(platf.Faults{LoseAnswers: 0.4}) }},
-		{"store slow", func(r *rig) { r.platform.Store.SetFaults(platf.Faults{Delay: 700 * time.Millisecond}) }},
+		{"claim writes' answers lost", func(r *rig) { r.platform.Store.SetFaults(kvsim.Faults{LoseAnswers: 0.4}) }},
+		{"store slow", func(r *rig) { r.platform.Store.SetFaults(kvsim.Faults{Delay: 700 * time.Millisecond}) }},
 		{"store away for a while", func(r *rig) {
-			r.platform.Store.SetFaults(platf.Faults{Away: true})
+			r.platform.Store.SetFaults(kvsim.Faults{Away: true})
 			time.Sleep(9 * time.Second)
-			r.platform.Store.SetFaults(platf.Faults{})
+			r.platform.Store.SetFaults(kvsim.Faults{})
 		}},
 		{"owner cut off from the store, partition moved", func(r *rig) {
 			r.agentNamed("book-0").gate.set(true)
@@ -206,8 +206,8 @@
 			}
 		}},
 		{"revoke races the run", func(r *rig) {
-			r.shops["book-0"].SetFaults(shop.Faults{Delay: 1900 * time.Millisecond})
-			r.shops["book-1"].SetFaults(shop.Faults{Delay: 2100 * time.Millisecond})
+			r.shops["book-0"].SetFaults(svcsim.Faults{Delay: 1900 * time.Millisecond})
+			r.shops["book-1"].SetFaults(svcsim.Faults{Delay: 2100 * time.Millisecond})
 		}},
 		{"agent restarted between", func(r *rig) {
 			for range 3 {
@@ -218,11 +218,11 @@
 			}
 		}},
 		{"ran, and the answer was lost", func(r *rig) {
-			r.shops["book-0"].SetFaults(shop.Faults{LoseAnswers: 10})
-			r.shops["book-1"].SetFaults(shop.Faults{LoseAnswers: 10})
+			r.shops["book-0"].SetFaults(svcsim.Faults{LoseAnswers: 10})
+			r.shops["book-1"].SetFaults(svcsim.Faults{LoseAnswers: 10})
 		}},
-		{"refused before it left", func(r *rig) { r.shops["book-0"].SetFaults(shop.Faults{Refuse: true}) }},
-		{"service hangs", func(r *rig) { r.shops["book-0"].SetFaults(shop.Faults{Hang: true}) }},
+		{"refused before it left", func(r *rig) { r.shops["book-0"].SetFaults(svcsim.Faults{Refuse: true}) }},
+		{"service hangs", func(r *rig) { r.shops["book-0"].SetFaults(svcsim.Faults{Hang: true}) }},
 		{"links fall silent", func(r *rig) { r.net.silence("addr-book-0", "") }},
 	}
 	for _, c := range cases {
--- a/test/proofs/rig_test.go
+++ b/test/proofs/rig_test.go
@@ -31,9 +31,9 @@
 	"foxtailcroft/internal/node/member"
 	"foxtailcroft/internal/plat/fleet"
 	"foxtailcroft/internal/plat/store"
-	"foxtailcroft/internal/standin/motor"
-	"foxtailcroft/internal/standin/platf"
-	"foxtailcroft/internal/standin/shop"
+	"foxtailcroft/internal/standin/engsim"
+	"foxtailcroft/internal/standin/kvsim"
+	"foxtailcroft/internal/standin/svcsim"
 	"foxtailcroft/test/draws"
 )
 
@@ -51,15 +51,15 @@
 	t        *testing.T
 	g        *WithT
 	net      *fabric
-	platform *platf.Platform
+	platform *kvsim.Platform
 	lag      time.Duration
 	mu       sync.Mutex
 	entries  map[string]*entryNode
 	agents   map[string]*agentNode
-	motors   map[string]*motor.Motor
-	motorSet map[string]motor.Settings
-	books    map[string]*shop.Book
-	shops    map[string]*shop.Shop
+	motors   map[string]*engsim.Engine
+	motorSet map[string]engsim.Settings
+	books    map[string]*svcsim.RunLog
+	shops    map[string]*svcsim.Endpoint
 	list     []fleet.Instance
 	group    conc.WaitGroup
 	stop     chan struct{}
@@ -103,9 +103,9 @@
 
 func newRig(t *testing.T, seed uint64, listLag time.Duration) *rig {
 	r := &rig{
-		t: t, g: NewWithT(t), net: newFabric(), platform: platf.NewPlatform(seed, listLag, nil), lag: listLag,
-		entries: map[string]*entryNode{}, agents: map[string]*agentNode{}, motors: map[string]*motor.Motor{}, motorSet: map[string]motor.Settings{},
-		books: map[string]*shop.Book{}, shops: map[string]*shop.Shop{}, stop: make(chan struct{}),
+		t: t, g: NewWithT(t), net: newFabric(), platform: kvsim.NewPlatform(seed, listLag, nil), lag: listLag,
+		entries: map[string]*entryNode{}, agents: map[string]*agentNode{}, motors: map[string]*engsim.Engine{}, motorSet: map[string]engsim.Settings{},
+		books: map[string]*svcsim.RunLog{}, shops: map[string]*svcsim.Endpoint{}, stop: make(chan struct{}),
 	}
 	r.group.Go(r.watchInvariants)
 	return r
@@ -215,13 +215,13 @@
 }
 
 // instances is the lagging list.
-type instances struct{ *platf.Platform }
+type instances struct{ *kvsim.Platform }
 
 func (i instances) Instances(context.Context) ([]fleet.Instance, error) {
 	if i.Store.Faults().Away {
 		return nil, awayError(context.Background())
 	}
-	return i.Visible(), nil
+	return i.VisibleInstances(), nil
 }
 
 // options builds a node's options and lists the node.
@@ -298,19 +298,19 @@
 }
 
 // motorSettings are those of a quick engine.
-func motorSettings() motor.Settings {
-	return motor.Settings{
+func motorSettings() engsim.Settings {
+	return engsim.Settings{
 		MemoryBytes: 64 * gigabyte, CheckFence: true, LoadTime: 4 * time.Second, AdapterTime: 10 * time.Millisecond,
-		UnloadTime: 200 * time.Millisecond, FirstToken: 100 * time.Millisecond, TokenTime: 20 * time.Millisecond, ReportLag: 500 * time.Millisecond,
+		UnloadTime: 200 * time.Millisecond, TimeToFirstToken: 100 * time.Millisecond, InterTokenLatency: 20 * time.Millisecond, MaxReportAge: 500 * time.Millisecond,
 	}
 }
 
 // engineAgent starts an agent on the named endpoint, whose engine outlives its agents.
-func (r *rig) engineAgent(name, domain string, s motor.Settings) *agentNode {
+func (r *rig) engineAgent(name, domain string, s engsim.Settings) *agentNode {
 	r.mu.Lock()
 	m := r.motors[name]
 	if m == nil {
-		m = motor.New(s)
+		m = engsim.New(s)
 		r.motors[name] = m
 		r.motorSet[name] = s
 	}
@@ -318,17 +318,17 @@
 	o, gate := r.options(plan.Node{Name: name, Role: plan.Agent, Domain: domain, Back: plan.EngineBack, MemoryBytes: s.MemoryBytes})
 	set := conf.DefaultAgent()
 	set.Engine = &conf.Engine{
-		URL: "http://engine", MemoryBytes: s.MemoryBytes, ChecksFence: s.CheckFence, ReportLag: kinds.Duration(s.ReportLag), OrderTimeout: kinds.Duration(time.Minute),
+		URL: "http://engine", MemoryBytes: s.MemoryBytes, ChecksFence: s.CheckFence, ReportLag: kinds.Duration(s.MaxReportAge), OrderTimeout: kinds.Duration(time.Minute),
 	}
 	return r.startAgent(name, set, o, gate, agent.Backs{Engine: m})
 }
 
 func (r *rig) serviceAgent(name, domain, service string) *agentNode {
 	if r.books[service] == nil {
-		r.books[service] = shop.NewBook()
+		r.books[service] = svcsim.NewRunLog()
 	}
 	if r.shops[name] == nil {
-		r.shops[name] = shop.New(service, r.books[service])
+		r.shops[name] = svcsim.New(service, r.books[service])
 	}
 	o, gate := r.options(plan.Node{Name: name, Role: plan.Agent, Domain: domain, Back: plan.ServiceBack, Service: service})
 	set := conf.DefaultAgent()
@@ -443,7 +443,7 @@
 	held := map[string]int{}
 	r.mu.Lock()
 	for _, m := range r.motors {
-		for _, i := range m.Holds() {
+		for _, i := range m.LoadedItems() {
 			if i.Adapter == "" {
 				held[i.Model]++
 			}
@@ -461,7 +461,7 @@
 // plan returns a model's plan as the store has it.
 func (r *rig) plan(model string) plan.Plan {
 	var p plan.Plan
-	if value, ok := r.platform.Store.Peek(store.StatePrefix + plan.ModelKey(model)); ok {
+	if value, ok := r.platform.Store.ValueIgnoringFaults(store.StatePrefix + plan.ModelKey(model)); ok {
 		r.g.Expect(json.Unmarshal(value, &p)).To(Succeed())
 	}
 	return p
@@ -600,7 +600,7 @@
 
 // want returns the stand-in's whole answer.
 func (a ask) want() string {
-	return motor.Answer([]byte(a.messages()), a.tokens)
+	return engsim.Completion([]byte(a.messages()), a.tokens)
 }
 
 // chat sends a chat request through an entry and returns how it ended.
--- a/test/proofs/silent_test.go
+++ b/test/proofs/silent_test.go
@@ -15,9 +15,9 @@
 	"foxtailcroft/internal/back/engine"
 	"foxtailcroft/internal/back/plain"
 	"foxtailcroft/internal/plat/store"
-	"foxtailcroft/internal/standin/motor"
-	"foxtailcroft/internal/standin/platf"
-	"foxtailcroft/internal/standin/shop"
+	"foxtailcroft/internal/standin/engsim"
+	"foxtailcroft/internal/standin/kvsim"
+	"foxtailcroft/internal/standin/svcsim"
 )
 
 // overFabric serves a stand-in over in-memory links inside a bubble and runs a test against its address.
@@ -44,7 +44,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := motorSettings()
 		s.LoadTime = 10 * time.Second
-		m := motor.New(s)
+		m := engsim.New(s)
 		overFabric(t, m.Handler(), func(g *WithT, f *fabric, transport func() *http.Transport) {
 			e := engine.NewClient("http://standin", transport())
 			ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
@@ -78,7 +78,7 @@
 // TestSilentLinkToTheStore makes the links between a node and the store swallow bytes under calls and a watch.
 func TestSilentLinkToTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := platf.NewPlatform(1, 0, nil)
+		p := kvsim.NewPlatform(1, 0, nil)
 		overFabric(t, p.Handler(), func(g *WithT, f *fabric, transport func() *http.Transport) {
 			c := store.NewClient("http://standin", transport(), 1000, metrics.NewSet())
 			ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
@@ -108,9 +108,9 @@
 // TestSilentLinkToAPlainService checks that a call is not sent again on another connection.
 func TestSilentLinkToAPlainService(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		book := shop.NewBook()
-		s := shop.New("desk", book)
-		s.SetFaults(shop.Faults{Delay: 500 * time.Millisecond})
+		book := svcsim.NewRunLog()
+		s := svcsim.New("desk", book)
+		s.SetFaults(svcsim.Faults{Delay: 500 * time.Millisecond})
 		overFabric(t, s.Handler(), func(g *WithT, f *fabric, transport func() *http.Transport) {
 			fresh := transport()
 			fresh.DisableKeepAlives = true
--- a/test/scale/planner_test.go
+++ b/test/scale/planner_test.go
@@ -15,7 +15,7 @@
 	"foxtailcroft/internal/link/peer"
 	"foxtailcroft/internal/plat/fleet"
 	"foxtailcroft/internal/plat/ledger"
-	"foxtailcroft/internal/standin/platf"
+	"foxtailcroft/internal/standin/kvsim"
 )
 
 type noList struct{}
@@ -45,7 +45,7 @@
 	h.Apply(d)
 	pool, closePool := peer.NewPool(noDial, peer.NewMux(), func() peer.Hello { return peer.Hello{} })
 	b.Cleanup(closePool)
-	memory := platf.NewMemory(1)
+	memory := kvsim.NewMemoryStore(1)
 	return &placer.Planner{
 		NodeName: "entry", Holder: h, Store: memory, Ledger: ledger.New(memory, func(audit.Record) {}), Instances: noList{}, Pool: pool,
 		Log: zap.NewNop(), GoneAfter: time.Hour,
--- a/test/soak/site_test.go
+++ b/test/soak/site_test.go
@@ -19,7 +19,7 @@
 	"github.com/sourcegraph/conc"
 
 	"foxtailcroft/internal/plat/store"
-	"foxtailcroft/internal/standin/platf"
+	"foxtailcroft/internal/standin/kvsim"
 	"foxtailcroft/platform/mimic"
 )
 
@@ -61,7 +61,7 @@
 	ctx     context.Context
 	dir     string
 	binary  string
-	memory  *platf.Memory
+	memory  *kvsim.MemoryStore
 	store   *mimic.Store
 	book    *mimic.Book
 	mu      sync.Mutex
@@ -73,7 +73,7 @@
 }
 
 func open(ctx context.Context, t *testing.T, binary, dir string, fronts int) *deployment {
-	d := &deployment{t: t, ctx: ctx, dir: dir, binary: binary, memory: platf.NewMemory(1), book: &mimic.Book{}}
+	d := &deployment{t: t, ctx: ctx, dir: dir, binary: binary, memory: kvsim.NewMemoryStore(1), book: &mimic.Book{}}
 	d.store = mimic.NewStore(d.memory)
 	address := d.serve(d.store)
 	d.configure()
@@ -186,7 +186,7 @@
 	for d.ctx.Err() == nil {
 		time.Sleep(beatEvery)
 		for _, s := range d.alive() {
-			kv, ok := d.memory.Peek(s.server.Key())
+			kv, ok := d.memory.ValueIgnoringFaults(s.server.Key())
 			if now := s.server.Announcement(); !ok || string(kv) != string(now) {
 				d.announce(s)
 			}
