--- a/cmd/foxtailcroft/agent.go
+++ b/cmd/foxtailcroft/agent.go
@@ -34,10 +34,10 @@
 	if err != nil {
 		return err
 	}
-	node := plan.Node{Name: settings.Node.Name, Role: plan.Agent, Region: settings.Node.Region, Domain: settings.Node.Domain, Back: plan.ServiceBack}
+	node := plan.Node{Name: settings.Node.Name, Role: plan.Agent, Region: settings.Node.Region, Domain: settings.Node.Domain, Back: plan.ServiceEndpoint}
 	var backs agent.Backs
 	if settings.Engine != nil {
-		node.Back, node.MemoryBytes = plan.EngineBack, settings.Engine.MemoryBytes
+		node.Back, node.MemoryBytes = plan.EngineEndpoint, settings.Engine.MemoryBytes
 		backs.Engine = engine.NewClient(settings.Engine.URL, transport())
 	} else {
 		node.Service = settings.Service.Name
--- a/cmd/foxtailcroft/delete.go
+++ b/cmd/foxtailcroft/delete.go
@@ -19,7 +19,7 @@
 		Args:              cobra.ExactArgs(2),
 		ValidArgsFunction: completeKinds,
 		RunE: func(cmd *cobra.Command, args []string) error {
-			kind, err := kinds.Parse(args[0])
+			kind, err := kinds.ParseKind(args[0])
 			if err != nil {
 				return err
 			}
@@ -30,7 +30,7 @@
 			if err := flags.client().Delete(cmd.Context(), kind, args[1], w); err != nil {
 				return err
 			}
-			_, err = fmt.Fprintf(cmd.OutOrStdout(), "%s deleted\n", kinds.Key(kind, args[1]))
+			_, err = fmt.Fprintf(cmd.OutOrStdout(), "%s deleted\n", kinds.ResourceKey(kind, args[1]))
 			return err
 		},
 	}
--- a/internal/agent/slots/acquire.go
+++ b/internal/agent/slots/acquire.go
@@ -120,7 +120,7 @@
 	p := v.Plan(plan.ModelKey(req.Model))
 	r := m.replicas[req.Model]
 	replicaLoaded := r != nil && r.phase == loaded
-	s, hasSlot := p.At(m.settings.Node)
+	s, hasSlot := p.SlotAt(m.settings.Node)
 	redirect := m.nextEndpoint(p, req)
 	switch {
 	case m.deposed || m.closed:
@@ -173,14 +173,14 @@
 		return ""
 	}
 	passedSelf := false
-	for _, s := range p.Active() {
+	for _, s := range p.ActiveSlots() {
 		if passedSelf {
 			return s.Endpoint
 		}
 		passedSelf = s.Endpoint == m.settings.Node
 	}
-	if !passedSelf && len(p.Active()) > 0 {
-		return p.Active()[0].Endpoint
+	if !passedSelf && len(p.ActiveSlots()) > 0 {
+		return p.ActiveSlots()[0].Endpoint
 	}
 	return ""
 }
@@ -246,7 +246,7 @@
 }
 
 func (m *Manager) replicaLoad(r *replica, spec kinds.ModelSpec) wire.Load {
-	l := wire.Load{Capacity: spec.Slots(), Cold: spec.ColdStart.Std()}
+	l := wire.Load{Capacity: spec.ConcurrencyLimit(), Cold: spec.ColdStart.Std()}
 	if r == nil {
 		return l
 	}
--- a/internal/agent/slots/evict_test.go
+++ b/internal/agent/slots/evict_test.go
@@ -31,7 +31,7 @@
 		add("Model/"+name, kinds.Resource{Kind: kinds.Model, Name: name, Model: &kinds.ModelSpec{Version: "1", MemoryBytes: 60, MaxReplicas: 1}})
 		add(plan.ModelKey(name), plan.Plan{Target: name}.WithSlot("e", "d"))
 	}
-	h.Apply(d)
+	h.ApplyDelta(d)
 	return h
 }
 
--- a/internal/agent/slots/manager.go
+++ b/internal/agent/slots/manager.go
@@ -92,7 +92,7 @@
 	tick := time.NewTicker(reconcilePeriod)
 	defer tick.Stop()
 	for {
-		_, changed := m.holder.Changed()
+		_, changed := m.holder.ViewAndChange()
 		m.mu.Lock()
 		m.reconcile(time.Now())
 		m.mu.Unlock()
@@ -123,7 +123,7 @@
 
 // localSlot returns the model's slot at this endpoint; false if the view shows none.
 func (m *Manager) localSlot(v *view.View, model string) (plan.Slot, bool) {
-	return v.Plan(plan.ModelKey(model)).At(m.settings.Node)
+	return v.Plan(plan.ModelKey(model)).SlotAt(m.settings.Node)
 }
 
 // mayLoad reports whether this agent may order a load of the model now.
--- a/internal/agent/slots/orders.go
+++ b/internal/agent/slots/orders.go
@@ -108,9 +108,9 @@
 func (m *Manager) evict(candidate string) {
 	model, adapter, isAdapter := strings.Cut(candidate, adapterSeparator)
 	r := m.replicas[model]
-	key := kinds.Key(kinds.Model, model)
+	key := kinds.ResourceKey(kinds.Model, model)
 	if isAdapter {
-		key = kinds.Key(kinds.Adapter, adapter)
+		key = kinds.ResourceKey(kinds.Adapter, adapter)
 	}
 	m.settings.RecordEviction(audit.Record{Time: time.Now().UTC(), Actor: m.settings.Node, Action: "Evicted", Key: key})
 	if isAdapter {
--- a/internal/agent/slots/reconcile.go
+++ b/internal/agent/slots/reconcile.go
@@ -120,7 +120,7 @@
 // isMinReplica reports whether the slot here is among the model's first MinReplicas
 // active ones, which stay loaded without requests.
 func (m *Manager) isMinReplica(v *view.View, model string, r *replica) bool {
-	for i, s := range v.Plan(plan.ModelKey(model)).Active() {
+	for i, s := range v.Plan(plan.ModelKey(model)).ActiveSlots() {
 		if s.Endpoint == m.settings.Node {
 			return i < r.spec.MinReplicas
 		}
@@ -143,7 +143,7 @@
 	r.queue.Each(func(w *queue.Waiter) { m.ensureAdapter(v, r, w, now) })
 	for {
 		w := r.queue.Pop(func(w *queue.Waiter) bool {
-			return queue.MayStart(w.Class, r.running, r.patientRunning, r.spec.Slots()) && m.adapterLoaded(r, w.Adapter)
+			return queue.MayStart(w.Class, r.running, r.patientRunning, r.spec.ConcurrencyLimit()) && m.adapterLoaded(r, w.Adapter)
 		})
 		if w == nil {
 			return
--- a/internal/agent/worker/model.go
+++ b/internal/agent/worker/model.go
@@ -22,7 +22,7 @@
 		Model: a.Run.Model, Adapter: a.Run.Adapter, Class: a.Run.Class, Deadline: a.Deadline, Final: a.Run.Final,
 	})
 	if err != nil {
-		return wire.Done{Refusal: fault.Of(err)}
+		return wire.Done{Refusal: fault.AsRefusal(err)}
 	}
 	defer grant.Release()
 	if !a.Begin() {
--- a/internal/agent/worker/plain.go
+++ b/internal/agent/worker/plain.go
@@ -32,7 +32,7 @@
 func (w *Worker) dispatch(ctx context.Context, a *runs.Attempt) (plain.Answer, *fault.Refusal) {
 	release, err := w.Limiter.Acquire(ctx, a.Run.Class, a.Deadline)
 	if err != nil {
-		return plain.Answer{}, fault.Of(err)
+		return plain.Answer{}, fault.AsRefusal(err)
 	}
 	defer release()
 	if !a.Begin() {
@@ -75,7 +75,7 @@
 	}
 	out, err := log.Claim(ctx, a.Run.Key, callDigest(a))
 	if err != nil {
-		return wire.Done{Refusal: fault.Of(err)}
+		return wire.Done{Refusal: fault.AsRefusal(err)}
 	}
 	switch out.State {
 	case claim.Mismatch:
--- a/internal/agent/worker/work.go
+++ b/internal/agent/worker/work.go
@@ -95,7 +95,7 @@
 	}
 	a, fresh, err := w.Registry.Open(c, run)
 	if err != nil {
-		return w.runReply(run, fault.Of(err)), nil
+		return w.runReply(run, fault.AsRefusal(err)), nil
 	}
 	if fresh && !w.group.Go(func() { w.execute(a) }) {
 		a.Abort()
--- a/internal/back/engine/client.go
+++ b/internal/back/engine/client.go
@@ -94,7 +94,7 @@
 	}
 	var p problemBody
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxProblemBytes)).Decode(&p); err != nil {
-		return false, &fault.Away{Part: "engine", Err: fmt.Errorf("%s answered %s", path, resp.Status), Unsettled: true}
+		return false, &fault.Unavailable{Service: "engine", Err: fmt.Errorf("%s answered %s", path, resp.Status), MayHaveApplied: true}
 	}
 	switch resp.StatusCode {
 	case http.StatusConflict:
@@ -102,7 +102,7 @@
 	case http.StatusInsufficientStorage:
 		return false, backoff.Permanent(&NoMemory{Item: o.Item, Free: p.FreeBytes})
 	}
-	return false, &fault.Away{Part: "engine", Err: fmt.Errorf("%s answered %s: %s", path, resp.Status, p.Error), Unsettled: true}
+	return false, &fault.Unavailable{Service: "engine", Err: fmt.Errorf("%s answered %s: %s", path, resp.Status, p.Error), MayHaveApplied: true}
 }
 
 const (
@@ -133,15 +133,15 @@
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return Report{}, &fault.Away{Part: "engine", Err: err}
+		return Report{}, &fault.Unavailable{Service: "engine", Err: err}
 	}
 	defer func() { _ = resp.Body.Close() }()
 	var body reportBody
 	if resp.StatusCode != http.StatusOK {
-		return Report{}, &fault.Away{Part: "engine", Err: fmt.Errorf("report answered %s", resp.Status)}
+		return Report{}, &fault.Unavailable{Service: "engine", Err: fmt.Errorf("report answered %s", resp.Status)}
 	}
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxReportBytes)).Decode(&body); err != nil {
-		return Report{}, &fault.Away{Part: "engine", Err: err}
+		return Report{}, &fault.Unavailable{Service: "engine", Err: err}
 	}
 	r := Report{MemoryBytes: body.MemoryBytes, Running: body.Running, Cached: body.Cached}
 	for _, i := range body.Items {
@@ -162,7 +162,7 @@
 	req.Header.Set("Content-Type", "application/json")
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return nil, &fault.Away{Part: "engine", Err: err, Unsettled: true}
+		return nil, &fault.Unavailable{Service: "engine", Err: err, MayHaveApplied: true}
 	}
 	return resp, nil
 }
--- a/internal/back/engine/stream.go
+++ b/internal/back/engine/stream.go
@@ -97,7 +97,7 @@
 	case resp.StatusCode < http.StatusInternalServerError:
 		return &Rejected{Status: resp.StatusCode, Message: string(text)}
 	}
-	return &fault.Away{Part: "engine", Err: fmt.Errorf("answered %s: %s", resp.Status, text), Unsettled: true}
+	return &fault.Unavailable{Service: "engine", Err: fmt.Errorf("answered %s: %s", resp.Status, text), MayHaveApplied: true}
 }
 
 // streamReader is the parser state of one event stream.
--- a/internal/base/conf/load.go
+++ b/internal/base/conf/load.go
@@ -56,7 +56,7 @@
 	if err := dec.Decode(&yaml.Node{}); !errors.Is(err, io.EOF) {
 		return &Wrong{File: file, Field: "document", Rule: "must be the only one in the file"}
 	}
-	for _, f := range kinds.CheckStruct("", out) {
+	for _, f := range kinds.ValidateStruct("", out) {
 		return &Wrong{File: file, Line: lineOfPath(data, f.Path), Field: f.Path, Value: f.Value, Rule: f.Rule}
 	}
 	return nil
@@ -192,7 +192,7 @@
 	if err := dec.Decode(&envelope); err != nil {
 		return kinds.Resource{}, shiftLine(decodeError(file, data, err), offset)
 	}
-	r, err := kinds.Empty(envelope.Kind, envelope.Name)
+	r, err := kinds.NewResource(envelope.Kind, envelope.Name)
 	if err != nil {
 		return r, withLocation(file, doc, err)
 	}
@@ -212,7 +212,7 @@
 			return r, w
 		}
 	}
-	return r, withLocation(file, doc, kinds.Check(r))
+	return r, withLocation(file, doc, kinds.Validate(r))
 }
 
 // withLocation turns field errors into a *Wrong with file and line, and returns other errors as they are.
@@ -220,8 +220,8 @@
 	if err == nil {
 		return nil
 	}
-	var fieldErr *fault.Field
-	var fieldErrs *fault.Fields
+	var fieldErr *fault.InvalidField
+	var fieldErrs *fault.InvalidFields
 	switch {
 	case errors.As(err, &fieldErr):
 	case errors.As(err, &fieldErrs):
--- a/internal/entry/admin/status.go
+++ b/internal/entry/admin/status.go
@@ -45,7 +45,7 @@
 type Replica struct {
 	Endpoint    string
 	Domain      string
-	Decision    plan.State
+	Decision    plan.SlotState
 	State       string
 	LastWake    time.Time
 	ColdP99     kinds.Duration
--- a/internal/entry/placer/lease.go
+++ b/internal/entry/placer/lease.go
@@ -56,7 +56,7 @@
 	renewedAt := time.Now()
 	p.resetObservations()
 	for ctx.Err() == nil && time.Since(renewedAt) < leaseTTL {
-		_, changed := p.Holder.Changed()
+		_, changed := p.Holder.ViewAndChange()
 		p.Step(ctx)
 		if time.Since(renewedAt) >= renewInterval {
 			sentAt := time.Now()
--- a/internal/entry/placer/placer.go
+++ b/internal/entry/placer/placer.go
@@ -185,7 +185,7 @@
 	after.Target = m.Name
 	for _, s := range before.Slots {
 		if _, ok := v.Node(s.Endpoint); !ok {
-			after, action = after.Without(s.Number), "SlotLost"
+			after, action = after.WithoutSlot(s.Number), "SlotLost"
 		}
 	}
 	after, action = p.removeReleased(ctx, v, after, action)
@@ -208,7 +208,7 @@
 	entry, _ := v.Entry(plan.ModelKey(after.Target))
 	for _, s := range after.Slots {
 		if s.State == plan.Releasing && p.releaseConfirmed(ctx, v, after.Target, s, entry.Revision) {
-			after, action = after.Without(s.Number), "SlotReleased"
+			after, action = after.WithoutSlot(s.Number), "SlotReleased"
 		}
 	}
 	return after, action
@@ -247,8 +247,8 @@
 			continue
 		}
 		after, action := p.removeReleased(ctx, v, v.Plan(key), "")
-		for _, s := range after.Active() {
-			after, action = after.WithState(s.Number, plan.Releasing), "SlotReleasing"
+		for _, s := range after.ActiveSlots() {
+			after, action = after.WithSlotState(s.Number, plan.Releasing), "SlotReleasing"
 		}
 		switch {
 		case len(after.Slots) == 0:
--- a/internal/entry/route/table.go
+++ b/internal/entry/route/table.go
@@ -137,7 +137,7 @@
 	case target.Service != "":
 		names = v.Endpoints(target.Service)
 	default:
-		for _, s := range v.Plan(plan.ModelKey(target.Model)).Active() {
+		for _, s := range v.Plan(plan.ModelKey(target.Model)).ActiveSlots() {
 			names = append(names, s.Endpoint)
 		}
 	}
--- a/internal/front/peers/peers.go
+++ b/internal/front/peers/peers.go
@@ -26,19 +26,19 @@
 // InstanceRequest asks the planner for instances that can serve a model or adapter.
 type InstanceRequest struct {
 	Service string
-	Target  site.Adapter
+	Target  site.Target
 	// Wait is how long the request can wait for an instance and still be served in time.
 	Wait time.Duration
 	// Answer is how long the planner may take to reply. The front then asks again,
 	// so that a planner that was replaced can't hold a request for longer.
 	Answer time.Duration
 	// Avoid are instances that the front recently failed to use.
-	Avoid []site.Key
+	Avoid []site.InstanceKey
 }
 
 // InstanceReply is the reply to a Want: instances that can serve now, or why there are none.
 type InstanceReply struct {
-	Instances []site.Key
+	Instances []site.InstanceKey
 	// Waiting is true if Answer ended before Wait, so that the front should ask again.
 	Waiting bool
 	// ReadyIn is the expected time until the target is loaded; 0 if unknown.
@@ -48,8 +48,8 @@
 
 // TargetUsage is one front's use of a model or adapter at an instance since its last report.
 type TargetUsage struct {
-	Instance site.Key
-	Target   site.Adapter
+	Instance site.InstanceKey
+	Target   site.Target
 	Requests int
 	InFlight int
 	// Work is the time that the server spends on the prompts of these requests.
@@ -69,19 +69,19 @@
 
 // StreamPause is the longest time between two events of a stream at an instance.
 type StreamPause struct {
-	Instance site.Key
+	Instance site.InstanceKey
 	Longest  time.Duration
 }
 
 // RequestCount is the number of requests for a model or adapter, fractional if decayed.
 type RequestCount struct {
-	Target   site.Adapter
+	Target   site.Target
 	Requests float64
 }
 
 // ServerLoad is the load of an instance in its last report.
 type ServerLoad struct {
-	Instance site.Key
+	Instance site.InstanceKey
 	Requests int
 	// Age is the age of the report.
 	Age time.Duration
@@ -102,7 +102,7 @@
 // PendingLoad is a model that an instance is loading; In is the expected time until it
 // is ready.
 type PendingLoad struct {
-	Instance site.Key
+	Instance site.InstanceKey
 	Model    string
 	In       time.Duration
 }
--- a/internal/front/proxy/answer.go
+++ b/internal/front/proxy/answer.go
@@ -51,13 +51,13 @@
 		err = fmt.Errorf("answer without signature or with an encoding")
 	}
 	if err != nil {
-		c.server.tracker.recordOutcome(in.Key, true)
+		c.server.tracker.recordOutcome(in.InstanceKey, true)
 		c.reason = err.Error()
 		c.logAttempt("answer not whole", in, c.reason)
 		return c.handleFailure(true)
 	}
 	failed := res.Status >= http.StatusInternalServerError
-	c.server.tracker.recordOutcome(in.Key, failed)
+	c.server.tracker.recordOutcome(in.InstanceKey, failed)
 	if failed && c.stream == nil && c.reserveResend() {
 		c.logAttempt("instance failed", in, http.StatusText(res.Status))
 		return tryAnother
--- a/internal/front/proxy/find.go
+++ b/internal/front/proxy/find.go
@@ -41,7 +41,7 @@
 	for {
 		c.state = c.server.stateSource.State()
 		list := c.untried(c.candidates())
-		if chosen, ok := c.server.tracker.pickInstance(list, c.server.settings.Node.Domain, &c.request, c.route.MaxGap, c.server.pool.Connected); ok {
+		if chosen, ok := c.server.tracker.pickInstance(list, c.server.settings.Node.Domain, &c.request, c.route.MaxTokenGap, c.server.pool.Connected); ok {
 			c.lastChoice = chosen
 			return chosen.Instance, true
 		}
@@ -68,7 +68,7 @@
 
 // untried returns the instances that the request has not tried yet.
 func (c *call) untried(list []site.Instance) []site.Instance {
-	return slices.DeleteFunc(slices.Clone(list), func(in site.Instance) bool { return c.tried[in.Key] })
+	return slices.DeleteFunc(slices.Clone(list), func(in site.Instance) bool { return c.tried[in.InstanceKey] })
 }
 
 // waitForInstance waits until instances may be tried again; false if the request has ended.
@@ -138,12 +138,12 @@
 }
 
 // unusableInstances returns the instances that this request has tried, or that are excluded or lacked the model recently.
-func (c *call) unusableInstances() []site.Key {
+func (c *call) unusableInstances() []site.InstanceKey {
 	list := c.state.Serving(c.service)
 	out := c.server.tracker.unusable(list, c.request.Target)
 	for _, in := range list {
-		if c.tried[in.Key] && !slices.Contains(out, in.Key) {
-			out = append(out, in.Key)
+		if c.tried[in.InstanceKey] && !slices.Contains(out, in.InstanceKey) {
+			out = append(out, in.InstanceKey)
 		}
 	}
 	return out
@@ -151,10 +151,10 @@
 
 // patienceEnd returns when the caller is expected to abandon a stream without a first event, at the latest the deadline.
 func (c *call) patienceEnd() time.Time {
-	if c.route.Kind != site.Streaming || c.route.Goal <= 0 {
+	if c.route.Kind != site.Streaming || c.route.ResponseGoal <= 0 {
 		return c.deadline
 	}
-	givesUpAt := c.arrivedAt.Add(max(minPatience, patienceGoalFactor*c.route.Goal, patienceGapFactor*c.route.MaxGap))
+	givesUpAt := c.arrivedAt.Add(max(minPatience, patienceGoalFactor*c.route.ResponseGoal, patienceGapFactor*c.route.MaxTokenGap))
 	if givesUpAt.Before(c.deadline) {
 		return givesUpAt
 	}
--- a/internal/front/proxy/history_test.go
+++ b/internal/front/proxy/history_test.go
@@ -159,11 +159,11 @@
 				address := fmt.Sprintf("10.0.1.%d:80", i)
 				r.net.Serve(address, service)
 				id := fmt.Sprintf("ledger-%d", i)
-				r.state.Instances[id] = site.Instance{Key: site.Key{ID: id}, Service: "ledger", Address: address, Domain: "a", Slots: 4}
+				r.state.Instances[id] = site.Instance{InstanceKey: site.InstanceKey{ID: id}, Service: "ledger", Address: address, Domain: "a", ConcurrentRequests: 4}
 			}
 			for i := range r.state.Document.Routes {
 				if route := &r.state.Document.Routes[i]; strings.HasSuffix(route.Prefix, "safe/") {
-					route.Timeout, route.Shares = time.Second, []site.Share{{Service: "ledger", Weight: 1}}
+					route.Timeout, route.Split = time.Second, []site.WeightedService{{Service: "ledger", Weight: 1}}
 				}
 			}
 			r.state.Document.Services["ledger"] = &site.Service{Name: "ledger"}
--- a/internal/front/proxy/relay_test.go
+++ b/internal/front/proxy/relay_test.go
@@ -52,10 +52,10 @@
 func withRelay(t *testing.T, n int, test func(*harness)) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &harness{t: t, g: NewWithT(t), net: pipes.New(), stopServer: map[string]func(){}, executions: &mimic.Book{}, log: &bytes.Buffer{}}
-		route := func(prefix string, kind site.Kind, attempts int, resumable bool, service string) site.Route {
+		route := func(prefix string, kind site.RouteKind, attempts int, resumable bool, service string) site.Route {
 			return site.Route{
-				Name: prefix, Host: "h.example", Prefix: prefix, Kind: kind, Attempts: attempts, Resumable: resumable,
-				Timeout: 5 * time.Second, Goal: time.Second, Shares: []site.Share{{Service: service, Weight: 1}},
+				Name: prefix, Host: "h.example", Prefix: prefix, Kind: kind, MaxAttempts: attempts, Resumable: resumable,
+				Timeout: 5 * time.Second, ResponseGoal: time.Second, Split: []site.WeightedService{{Service: service, Weight: 1}},
 			}
 		}
 		r.state = &follow.State{
@@ -95,7 +95,7 @@
 	}, r.executions, func() {}, "m")
 	r.stopServer[address] = r.net.Serve(address, s)
 	r.servers = append(r.servers, s)
-	in := site.Instance{Key: site.Key{ID: id}, Service: service, Address: address, Domain: "a", Slots: 4}
+	in := site.Instance{InstanceKey: site.InstanceKey{ID: id}, Service: service, Address: address, Domain: "a", ConcurrentRequests: 4}
 	if service == "llm" {
 		in.Models = []string{"m"}
 	}
--- a/internal/front/proxy/server.go
+++ b/internal/front/proxy/server.go
@@ -27,7 +27,7 @@
 // Dialect reads and writes the deployment's headers of requests and answers.
 type Dialect interface {
 	// DecodeRequest decodes a caller's headers.
-	DecodeRequest(h http.Header) site.Request
+	DecodeRequest(h http.Header) site.RequestInfo
 	// IsEndToEnd reports whether a header is end-to-end even if a Connection header names it.
 	IsEndToEnd(name string) bool
 	// SetRequestHeaders sets the headers of a request to an instance; an empty lastEvent resumes nothing.
@@ -39,7 +39,7 @@
 	// ReportsNotRun reports whether the instance states that it did not run the request.
 	ReportsNotRun(status int, h http.Header) bool
 	// DecodeLoad decodes the instance's load; false if the answer has none.
-	DecodeLoad(h http.Header) (site.Load, bool)
+	DecodeLoad(h http.Header) (site.ServerLoad, bool)
 	// SetRefusalHeaders sets the headers of the front's own refusals and errors.
 	SetRefusalHeaders(h http.Header, id string, after time.Duration)
 }
@@ -89,9 +89,9 @@
 // a new planner, the request counts are the decayed weights of all past requests.
 func (s *Server) TakeUsage(allRecent bool) peers.UsageReport {
 	state := s.stateSource.State()
-	return s.tracker.takeUsage(s.settings.Node.Name, allRecent, func(k site.Key) bool {
+	return s.tracker.takeUsage(s.settings.Node.Name, allRecent, func(k site.InstanceKey) bool {
 		in, ok := state.Instances[k.ID]
-		return ok && in.Key == k
+		return ok && in.InstanceKey == k
 	})
 }
 
@@ -110,7 +110,7 @@
 
 // ServeHTTP serves one caller's request to its end and logs it.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	c := &call{server: s, w: w, r: r, arrivedAt: time.Now(), state: s.stateSource.State(), request: s.dialect.DecodeRequest(r.Header), tried: map[site.Key]bool{}}
+	c := &call{server: s, w: w, r: r, arrivedAt: time.Now(), state: s.stateSource.State(), request: s.dialect.DecodeRequest(r.Header), tried: map[site.InstanceKey]bool{}}
 	defer c.logRequest()
 	doc := c.state.Document
 	if doc == nil {
@@ -127,7 +127,7 @@
 		c.refuse(http.StatusNotFound, "no route", 0)
 		return
 	}
-	c.service = c.route.Pick(xxhash.Sum64String(c.request.ID))
+	c.service = c.route.PickService(xxhash.Sum64String(c.request.ID))
 	c.deadline = c.arrivedAt.Add(c.timeLimit())
 	if !c.readBody(doc.Limits.BodyBytes) {
 		return
@@ -141,8 +141,8 @@
 // timeLimit returns how long the request may take: the lower of the route's timeout and the caller's.
 func (c *call) timeLimit() time.Duration {
 	limit := c.route.Timeout
-	if c.request.Patience > 0 && (limit <= 0 || c.request.Patience < limit) {
-		limit = c.request.Patience
+	if c.request.Timeout > 0 && (limit <= 0 || c.request.Timeout < limit) {
+		limit = c.request.Timeout
 	}
 	if limit <= 0 {
 		limit = defaultTimeLimit
--- a/internal/front/sched/churn_test.go
+++ b/internal/front/sched/churn_test.go
@@ -65,7 +65,7 @@
 // sendTo sends a request for a model or adapter to the first server and returns the answer's status.
 func (c *cluster) sendTo(pool *conns.Pool, target, tokens string) int {
 	header := http.Header{"Request-Id": {"r"}, "Model": {target}, "Token-Counts": {tokens}}
-	res, err := pool.Do(c.ctx, conns.Target{Key: site.Key{ID: "i-0", Born: 1}, Address: "10.0.0.1:80"}, &conns.Request{
+	res, err := pool.Do(c.ctx, conns.Target{InstanceKey: site.InstanceKey{ID: "i-0", Born: 1}, Address: "10.0.0.1:80"}, &conns.Request{
 		Method: http.MethodPost, URI: "/x", Host: "h", Header: header, Body: []byte("x"),
 	})
 	c.g.Expect(err).NotTo(HaveOccurred())
@@ -99,7 +99,7 @@
 		c.g.Expect(orders.Load()).To(BeNumerically("<=", 1))
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		c.g.Expect(p.servers[site.Key{ID: "i-0", Born: 1}].lost).To(BeTrue())
+		c.g.Expect(p.servers[site.InstanceKey{ID: "i-0", Born: 1}].lost).To(BeTrue())
 	})
 }
 
@@ -139,7 +139,7 @@
 		}
 		var group conc.WaitGroup
 		group.Go(func() {
-			_, err := first.planner.RequestInstances(c.ctx, peers.InstanceRequest{Service: "llm", Target: site.Adapter{Model: "m7"}, Wait: time.Second, Answer: time.Second})
+			_, err := first.planner.RequestInstances(c.ctx, peers.InstanceRequest{Service: "llm", Target: site.Target{Model: "m7"}, Wait: time.Second, Answer: time.Second})
 			c.g.Expect(err).NotTo(HaveOccurred())
 		})
 		group.Wait()
@@ -156,7 +156,7 @@
 		before := len(c.orderBook.Orders())
 		time.Sleep(4 * time.Second)
 		c.g.Expect(successor.planner.checkLeadership()).To(BeTrue())
-		found, err := successor.planner.RequestInstances(c.ctx, peers.InstanceRequest{Service: "llm", Target: site.Adapter{Model: "m7"}, Wait: 12 * time.Second, Answer: 12 * time.Second})
+		found, err := successor.planner.RequestInstances(c.ctx, peers.InstanceRequest{Service: "llm", Target: site.Target{Model: "m7"}, Wait: 12 * time.Second, Answer: 12 * time.Second})
 		c.g.Expect(err).NotTo(HaveOccurred())
 		c.g.Expect(found.Instances).To(HaveLen(1), found.Reason)
 		c.g.Expect(c.orderBook.Orders()[before:]).To(BeEmpty())
@@ -195,7 +195,7 @@
 		var group conc.WaitGroup
 		for range waiters {
 			group.Go(func() {
-				_, err := p.RequestInstances(c.ctx, peers.InstanceRequest{Service: "llm", Target: site.Adapter{Model: "m4"}, Wait: 4 * time.Second, Answer: 4 * time.Second})
+				_, err := p.RequestInstances(c.ctx, peers.InstanceRequest{Service: "llm", Target: site.Target{Model: "m4"}, Wait: 4 * time.Second, Answer: 4 * time.Second})
 				c.g.Expect(err).NotTo(HaveOccurred())
 			})
 		}
--- a/internal/front/sched/demand.go
+++ b/internal/front/sched/demand.go
@@ -21,15 +21,15 @@
 	// seconds that servers spend on their prompts (prefill).
 	sent               map[string]decay.Count
 	promptSeconds      map[string]decay.Count
-	adapterLastRequest map[site.Adapter]time.Time
+	adapterLastRequest map[site.Target]time.Time
 }
 
 func newDemand() demand {
-	return demand{requests: map[string]decay.Count{}, sent: map[string]decay.Count{}, promptSeconds: map[string]decay.Count{}, adapterLastRequest: map[site.Adapter]time.Time{}}
+	return demand{requests: map[string]decay.Count{}, sent: map[string]decay.Count{}, promptSeconds: map[string]decay.Count{}, adapterLastRequest: map[site.Target]time.Time{}}
 }
 
 // add counts n requests for a model or adapter, served or not.
-func (d demand) add(t site.Adapter, n float64, now time.Time) {
+func (d demand) add(t site.Target, n float64, now time.Time) {
 	d.requests[t.Model] = d.requests[t.Model].Add(n, now)
 	if t.Name != "" {
 		d.adapterLastRequest[t] = now
@@ -38,7 +38,7 @@
 
 // addSent counts requests that were sent to a server, and the time that the server
 // spends on their prompts.
-func (d demand) addSent(t site.Adapter, requests int, promptTime time.Duration, now time.Time) {
+func (d demand) addSent(t site.Target, requests int, promptTime time.Duration, now time.Time) {
 	if requests == 0 || t.Model == "" {
 		return
 	}
--- a/internal/front/sched/execute.go
+++ b/internal/front/sched/execute.go
@@ -27,7 +27,7 @@
 func (p *Planner) executeSwap(ctx context.Context, s *server, a swap.Action) {
 	defer p.releaseServer(s)
 	for _, model := range a.Evict {
-		target := site.Adapter{Model: model}
+		target := site.Target{Model: model}
 		if !p.sendOrder(ctx, s, site.Order{Unload: true, Target: target}) {
 			return
 		}
@@ -35,7 +35,7 @@
 			return
 		}
 	}
-	if !p.sendOrder(ctx, s, site.Order{Target: site.Adapter{Model: a.Load}}) {
+	if !p.sendOrder(ctx, s, site.Order{Target: site.Target{Model: a.Load}}) {
 		return
 	}
 	began := time.Now()
@@ -58,7 +58,7 @@
 		return
 	}
 	concurrencyBefore := p.storeConcurrency.Limit()
-	p.storeConcurrency = p.storeConcurrency.Observe(max(concurrent, p.activeStoreLoads()), took, engine.Model(a.Load).FromStore)
+	p.storeConcurrency = p.storeConcurrency.Observe(max(concurrent, p.activeStoreLoads()), took, engine.Model(a.Load).StoreLoadTime)
 	p.log.Infow("load from the store ended", "Instance", s.inst.ID, "Model", a.Load, "Took", took.String(), "Beside", concurrent, "AtOnceBefore", concurrencyBefore, "AtOnce", p.storeConcurrency.Limit())
 }
 
@@ -71,7 +71,7 @@
 	for {
 		p.mu.Lock()
 		next := s.changed
-		ok, gone := s.models[model] != nil, p.servers[s.inst.Key] != s
+		ok, gone := s.models[model] != nil, p.servers[s.inst.InstanceKey] != s
 		p.mu.Unlock()
 		if ok || gone {
 			return true
@@ -101,7 +101,7 @@
 	for time.Now().Before(deadline) {
 		p.readReport(ctx, s)
 		p.mu.Lock()
-		ok, gone := done(), p.servers[s.inst.Key] != s
+		ok, gone := done(), p.servers[s.inst.InstanceKey] != s
 		p.mu.Unlock()
 		if ok || gone {
 			return ok && !gone
@@ -125,7 +125,7 @@
 	}
 	fence, ok := p.candidate.FencingToken(p.settings.ChecksFence)
 	p.mu.Lock()
-	if !ok || fence != p.fence || fence == p.deposedFence || p.servers[s.inst.Key] != s || !s.allowsOrder(o, engineOf(p.state(), s.inst.Service)) {
+	if !ok || fence != p.fence || fence == p.deposedFence || p.servers[s.inst.InstanceKey] != s || !s.allowsOrder(o, engineOf(p.state(), s.inst.Service)) {
 		p.mu.Unlock()
 		return false
 	}
@@ -149,7 +149,7 @@
 		pause.For(ctx, maxReportLag)
 		p.readReport(ctx, s)
 	}
-	return outcome == site.Accepted || outcome == site.Holds
+	return outcome == site.Accepted || outcome == site.AlreadyDone
 }
 
 func errorText(err error) string {
@@ -161,20 +161,20 @@
 
 // applyOutcome updates the planner's view of the server after an order. The caller
 // must hold p.mu.
-func (p *Planner) applyOutcome(s *server, o site.Order, outcome site.Outcome) {
+func (p *Planner) applyOutcome(s *server, o site.Order, outcome site.OrderOutcome) {
 	now := time.Now()
 	switch outcome {
-	case site.Accepted, site.Holds:
+	case site.Accepted, site.AlreadyDone:
 		if outcome == site.Accepted || o.Unload {
 			s.sequence = o.Sequence + 1
 		}
-		s.applyOrder(o, outcome == site.Holds, now)
+		s.applyOrder(o, outcome == site.AlreadyDone, now)
 	case site.Conflict:
 		s.resync = true
 	case site.Fenced:
 		p.deposedFence = o.Fence
 		p.log.Warnw("deposed: a server has seen a higher fencing token; sending no more orders under this one", "Fence", o.Fence, "Instance", s.inst.ID)
-	case site.Moved:
+	case site.OtherInstance:
 		p.markLost(s, errReplaced)
 	case site.Invalid:
 		s.pausedUntil = now.Add(invalidOrderPause)
@@ -221,7 +221,7 @@
 }
 
 // loadAdapter evicts the victim, if there is one, and loads an adapter.
-func (p *Planner) loadAdapter(ctx context.Context, s *server, t, victim site.Adapter) {
+func (p *Planner) loadAdapter(ctx context.Context, s *server, t, victim site.Target) {
 	if p.evictAdapter(ctx, s, victim) && p.sendOrder(ctx, s, site.Order{Target: t}) {
 		pause.For(ctx, adapterLoadTime)
 	}
@@ -233,7 +233,7 @@
 
 // evictAdapter unloads a victim, if there is one, and waits until its place is
 // free. It reports whether the place is free.
-func (p *Planner) evictAdapter(ctx context.Context, s *server, victim site.Adapter) bool {
+func (p *Planner) evictAdapter(ctx context.Context, s *server, victim site.Target) bool {
 	if victim.Name == "" {
 		return true
 	}
--- a/internal/front/sched/lead.go
+++ b/internal/front/sched/lead.go
@@ -210,7 +210,7 @@
 		If:   []store.Compare{{Key: follow.PlannerKey}},
 		Puts: []store.Put{{Key: follow.PlannerKey, Value: value, Lease: lease}},
 	})
-	var gone *fault.Missing
+	var gone *fault.NotFoundError
 	switch {
 	case fault.As(err, &gone):
 		l.setLease(0, time.Time{}, 0)
--- a/internal/front/sched/planner.go
+++ b/internal/front/sched/planner.go
@@ -68,13 +68,13 @@
 	deposedFence int64
 	// leadingSince is when this front became the planner.
 	leadingSince time.Time
-	servers      map[site.Key]*server
-	wants        map[site.Adapter]*wantedTarget
+	servers      map[site.InstanceKey]*server
+	wants        map[site.Target]*wantedTarget
 	// adaptersLoading are the adapters for which a load has been started.
-	adaptersLoading map[site.Adapter]bool
+	adaptersLoading map[site.Target]bool
 	// inheritedLoads are the loads in progress in the last state that another
 	// planner published.
-	inheritedLoads map[site.Key]inheritedLoad
+	inheritedLoads map[site.InstanceKey]inheritedLoad
 	// expectedReady is when a model will be ready for which a busy server is chosen
 	// that loads it once it is available.
 	expectedReady map[string]time.Time
@@ -97,7 +97,7 @@
 // frontUsage is the requests in flight by server and target in a front's last usage report.
 type frontUsage struct {
 	receivedAt time.Time
-	inFlight   map[site.Key]map[site.Adapter]int
+	inFlight   map[site.InstanceKey]map[site.Target]int
 }
 
 // New returns a planner and a function that waits for its background work to end.
@@ -105,7 +105,7 @@
 	group := &crew.Group{}
 	p := &Planner{
 		settings: set, candidate: lead, state: state, client: &serverClient{pool: pool, dialect: d}, log: log, group: group,
-		servers: map[site.Key]*server{}, wants: map[site.Adapter]*wantedTarget{}, adaptersLoading: map[site.Adapter]bool{}, expectedReady: map[string]time.Time{},
+		servers: map[site.InstanceKey]*server{}, wants: map[site.Target]*wantedTarget{}, adaptersLoading: map[site.Target]bool{}, expectedReady: map[string]time.Time{},
 		usageByFront: map[string]frontUsage{}, demand: newDemand(), wakeup: make(chan struct{}, 1),
 		ordersTotal: meters.GetOrCreateCounter("foxtailcroft_orders_total"), storeLoadsTotal: meters.GetOrCreateCounter("foxtailcroft_store_loads_total"),
 	}
@@ -165,8 +165,8 @@
 		p.log.Infow("planning", "Fence", fence)
 		p.fence = fence
 		p.leadingSince = time.Now()
-		p.servers = map[site.Key]*server{}
-		p.adaptersLoading = map[site.Adapter]bool{}
+		p.servers = map[site.InstanceKey]*server{}
+		p.adaptersLoading = map[site.Target]bool{}
 		p.demand = newDemand()
 		// The previous planner may just have started as many loads as may run concurrently.
 		p.storeLoadStarts = slices.Repeat([]time.Time{p.leadingSince}, p.storeConcurrency.Limit())
@@ -180,20 +180,20 @@
 	state := p.state()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	seen := map[site.Key]bool{}
+	seen := map[site.InstanceKey]bool{}
 	for _, in := range state.Instances {
 		svc := engineOf(state, in.Service)
 		if svc == nil {
 			continue
 		}
-		seen[in.Key] = true
-		s := p.servers[in.Key]
+		seen[in.InstanceKey] = true
+		s := p.servers[in.InstanceKey]
 		if s == nil {
 			s = newServer(in)
-			p.servers[in.Key] = s
+			p.servers[in.InstanceKey] = s
 			p.group.Go(func() { p.readReport(ctx, s) })
 		}
-		if s.inst.Seen != in.Seen {
+		if s.inst.Revision != in.Revision {
 			p.applyAnnouncement(s, in)
 		}
 		s.inst = in
@@ -283,7 +283,7 @@
 }
 
 // markUsed updates the last use of a model and of the adapter.
-func (s *server) markUsed(t site.Adapter, now time.Time) {
+func (s *server) markUsed(t site.Target, now time.Time) {
 	if h := s.models[t.Model]; h != nil {
 		h.lastUse = now
 	}
--- a/internal/front/sched/planner_test.go
+++ b/internal/front/sched/planner_test.go
@@ -204,7 +204,7 @@
 }
 
 func (c *cluster) want(model, adapter string, wait time.Duration) (peers.InstanceReply, error) {
-	return c.leader().planner.RequestInstances(c.ctx, peers.InstanceRequest{Service: "llm", Target: site.Adapter{Model: model, Name: adapter}, Wait: wait, Answer: wait})
+	return c.leader().planner.RequestInstances(c.ctx, peers.InstanceRequest{Service: "llm", Target: site.Target{Model: model, Name: adapter}, Wait: wait, Answer: wait})
 }
 
 func TestMissingModelIsLoadedWhileRequestsWait(t *testing.T) {
@@ -261,10 +261,10 @@
 		time.Sleep(5 * time.Second)
 		c.stops[0]()
 		found, err := c.leader().planner.RequestInstances(c.ctx, peers.InstanceRequest{
-			Service: "llm", Target: site.Adapter{Model: "m0"}, Wait: 5 * time.Second, Answer: 5 * time.Second, Avoid: []site.Key{{ID: "i-0", Born: 1}},
+			Service: "llm", Target: site.Target{Model: "m0"}, Wait: 5 * time.Second, Answer: 5 * time.Second, Avoid: []site.InstanceKey{{ID: "i-0", Born: 1}},
 		})
 		c.g.Expect(err).NotTo(HaveOccurred())
-		c.g.Expect(found.Instances).NotTo(ContainElement(site.Key{ID: "i-0", Born: 1}))
+		c.g.Expect(found.Instances).NotTo(ContainElement(site.InstanceKey{ID: "i-0", Born: 1}))
 		c.g.Expect(found.Instances).NotTo(BeEmpty())
 	})
 }
@@ -282,7 +282,7 @@
 			}
 		}
 		c.g.Expect(successor).NotTo(BeNil())
-		found, err := successor.planner.RequestInstances(c.ctx, peers.InstanceRequest{Service: "llm", Target: site.Adapter{Model: "m5"}, Wait: 5 * time.Second, Answer: 5 * time.Second})
+		found, err := successor.planner.RequestInstances(c.ctx, peers.InstanceRequest{Service: "llm", Target: site.Target{Model: "m5"}, Wait: 5 * time.Second, Answer: 5 * time.Second})
 		c.g.Expect(err).NotTo(HaveOccurred())
 		c.g.Expect(found.Instances).NotTo(BeEmpty())
 		fences := map[string]int64{}
@@ -303,7 +303,7 @@
 			for i := range 60 {
 				for _, p := range c.fronts {
 					group.Go(func() {
-						_, _ = p.planner.RequestInstances(c.ctx, peers.InstanceRequest{Service: "llm", Target: site.Adapter{Model: fmt.Sprintf("m%d", i%8)}, Wait: time.Second, Answer: time.Second})
+						_, _ = p.planner.RequestInstances(c.ctx, peers.InstanceRequest{Service: "llm", Target: site.Target{Model: fmt.Sprintf("m%d", i%8)}, Wait: time.Second, Answer: time.Second})
 					})
 				}
 				time.Sleep(100 * time.Millisecond)
@@ -331,13 +331,13 @@
 func TestLoadsStayWithinStoreRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		engine := &site.Engine{LoadsPerSecond: 2.1}
+		engine := &site.Engine{StoreLoadsPerSecond: 2.1}
 		const window = 5 * time.Second
-		p := &Planner{settings: Settings{LoadWindow: window}, storeConcurrency: loads.FromEstimate(4), servers: map[site.Key]*server{}}
+		p := &Planner{settings: Settings{LoadWindow: window}, storeConcurrency: loads.FromEstimate(4), servers: map[site.InstanceKey]*server{}}
 		var begun []time.Time
 		for i := range 400 {
 			if i%150 == 149 {
-				p = &Planner{settings: p.settings, storeConcurrency: p.storeConcurrency, servers: map[site.Key]*server{}}
+				p = &Planner{settings: p.settings, storeConcurrency: p.storeConcurrency, servers: map[site.InstanceKey]*server{}}
 				p.storeLoadStarts = slices.Repeat([]time.Time{time.Now()}, p.storeConcurrency.Limit())
 			}
 			if p.storeLoadsAllowed(engine, time.Now()) > 0 {
@@ -350,7 +350,7 @@
 					inWindow++
 				}
 			}
-			g.Expect(float64(inWindow)).To(BeNumerically("<=", engine.LoadsPerSecond*window.Seconds()*1.1+3))
+			g.Expect(float64(inWindow)).To(BeNumerically("<=", engine.StoreLoadsPerSecond*window.Seconds()*1.1+3))
 			time.Sleep(100 * time.Millisecond)
 		}
 		g.Expect(len(begun)).To(BeNumerically(">", 40))
@@ -404,7 +404,7 @@
 			}
 			for _, p := range c.fronts {
 				group.Go(func() {
-					_, _ = p.planner.RequestInstances(c.ctx, peers.InstanceRequest{Service: "llm", Target: site.Adapter{Model: model, Name: adapter}, Wait: 3 * time.Second, Answer: time.Second})
+					_, _ = p.planner.RequestInstances(c.ctx, peers.InstanceRequest{Service: "llm", Target: site.Target{Model: model, Name: adapter}, Wait: 3 * time.Second, Answer: time.Second})
 				})
 			}
 		}
--- a/internal/front/sched/step.go
+++ b/internal/front/sched/step.go
@@ -44,9 +44,9 @@
 
 // pruneAndSortWants removes expired wants and returns the targets of the others, the
 // one requested first at the front. The caller must hold p.mu.
-func (p *Planner) pruneAndSortWants(now time.Time) []site.Adapter {
-	maps.DeleteFunc(p.wants, func(_ site.Adapter, w *wantedTarget) bool { return len(w.waiters) == 0 && now.After(w.expiresAt) })
-	return slices.SortedFunc(maps.Keys(p.wants), func(a, b site.Adapter) int {
+func (p *Planner) pruneAndSortWants(now time.Time) []site.Target {
+	maps.DeleteFunc(p.wants, func(_ site.Target, w *wantedTarget) bool { return len(w.waiters) == 0 && now.After(w.expiresAt) })
+	return slices.SortedFunc(maps.Keys(p.wants), func(a, b site.Target) int {
 		return cmp.Or(p.wants[a].firstRequested.Compare(p.wants[b].firstRequested), cmp.Compare(a.Model, b.Model), cmp.Compare(a.Name, b.Name))
 	})
 }
@@ -64,7 +64,7 @@
 		in.StoreLoadsLeft = 0
 	}
 	for _, s := range p.servers {
-		if s.inst.Service == service && !s.inst.Leaving {
+		if s.inst.Service == service && !s.inst.Draining {
 			in.Servers = append(in.Servers, p.policyView(s, now))
 		}
 	}
@@ -113,7 +113,7 @@
 		}
 		h := s.models[name]
 		v.Copies = append(v.Copies, swap.Copy{
-			Model: name, InFlight: p.requestsInFlight(s.inst.Key, site.Adapter{Model: name}), Age: now.Sub(h.loadedAt), Idle: now.Sub(h.lastUse),
+			Model: name, InFlight: p.requestsInFlight(s.inst.InstanceKey, site.Target{Model: name}), Age: now.Sub(h.loadedAt), Idle: now.Sub(h.lastUse),
 		})
 	}
 	return v
@@ -129,8 +129,8 @@
 	var strictest time.Duration
 	for i := range doc.Routes {
 		r := &doc.Routes[i]
-		if r.MaxGap > 0 && (strictest == 0 || r.MaxGap < strictest) && slices.ContainsFunc(r.Shares, func(x site.Share) bool { return x.Service == service }) {
-			strictest = r.MaxGap
+		if r.MaxTokenGap > 0 && (strictest == 0 || r.MaxTokenGap < strictest) && slices.ContainsFunc(r.Split, func(x site.WeightedService) bool { return x.Service == service }) {
+			strictest = r.MaxTokenGap
 		}
 	}
 	return strictest
@@ -162,7 +162,7 @@
 // the window by the store's rate, without the excess that the store tolerates.
 func (p *Planner) storeLoadsAllowed(e *site.Engine, now time.Time) int {
 	p.storeLoadStarts = slices.DeleteFunc(p.storeLoadStarts, func(t time.Time) bool { return now.Sub(t) > p.settings.LoadWindow })
-	rateAllowance := int(e.LoadsPerSecond*p.settings.LoadWindow.Seconds()) - len(p.storeLoadStarts)
+	rateAllowance := int(e.StoreLoadsPerSecond*p.settings.LoadWindow.Seconds()) - len(p.storeLoadStarts)
 	return max(0, min(rateAllowance, p.storeConcurrency.Limit()-p.activeStoreLoads()))
 }
 
@@ -174,7 +174,7 @@
 type adapterPlace struct {
 	server *server
 	// victim is empty if the server has a free place.
-	victim site.Adapter
+	victim site.Target
 	// victimLastUse is when the victim was last used.
 	victimLastUse time.Time
 }
@@ -195,7 +195,7 @@
 
 // placeAdapter starts loading an adapter at a server that has its model, unless the
 // adapter is present or being loaded. The caller must hold p.mu.
-func (p *Planner) placeAdapter(ctx context.Context, service string, t site.Adapter) {
+func (p *Planner) placeAdapter(ctx context.Context, service string, t site.Target) {
 	engine := engineOf(p.state(), service)
 	holders := p.serversWithModel(service, t.Model)
 	present := slices.ContainsFunc(holders, func(s *server) bool { return s.adapters[t] != nil })
@@ -223,7 +223,7 @@
 	if !s.available() {
 		return adapterPlace{}, false
 	}
-	if len(s.adapters) < e.AdapterPlaces && s.usedMB(e)+m.AdapterMB <= e.WeightsMB {
+	if len(s.adapters) < e.MaxLoadedAdapters && s.usedMB(e)+m.AdapterMB <= e.WeightsMB {
 		return adapterPlace{server: s}, true
 	}
 	victim, lastUse, ok := s.leastRecentlyUsedAdapter(time.Now(), p.requestsInFlight)
--- a/internal/front/sched/usage.go
+++ b/internal/front/sched/usage.go
@@ -45,10 +45,10 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	report := frontUsage{receivedAt: now, inFlight: map[site.Key]map[site.Adapter]int{}}
+	report := frontUsage{receivedAt: now, inFlight: map[site.InstanceKey]map[site.Target]int{}}
 	for _, x := range u.Uses {
 		if report.inFlight[x.Instance] == nil {
-			report.inFlight[x.Instance] = map[site.Adapter]int{}
+			report.inFlight[x.Instance] = map[site.Target]int{}
 		}
 		report.inFlight[x.Instance][x.Target] += x.InFlight
 		p.demand.addSent(x.Target, x.Requests, x.Work, now)
@@ -77,7 +77,7 @@
 	var loads []peers.ServerLoad
 	for _, s := range p.servers {
 		if s.known && !s.lost {
-			loads = append(loads, peers.ServerLoad{Instance: s.inst.Key, Requests: s.requests, Age: now.Sub(s.reportedAt), Pause: s.pausePeak.Value(now)})
+			loads = append(loads, peers.ServerLoad{Instance: s.inst.InstanceKey, Requests: s.requests, Age: now.Sub(s.reportedAt), Pause: s.pausePeak.Value(now)})
 		}
 	}
 	slices.SortFunc(loads, func(a, b peers.ServerLoad) int {
@@ -110,7 +110,7 @@
 		p.storeConcurrency = loads.FromEstimate(status.StoreLoads)
 	}
 	now := time.Now()
-	p.inheritedLoads = map[site.Key]inheritedLoad{}
+	p.inheritedLoads = map[site.InstanceKey]inheritedLoad{}
 	for _, x := range status.Pending {
 		p.inheritedLoads[x.Instance] = inheritedLoad{model: x.Model, readyAt: now.Add(x.In)}
 	}
@@ -125,7 +125,7 @@
 // adoptInheritedLoad records the load that a busy server is still running for the
 // previous planner, so that it isn't ordered again. The caller must hold p.mu.
 func (p *Planner) adoptInheritedLoad(s *server) {
-	x, ok := p.inheritedLoads[s.inst.Key]
+	x, ok := p.inheritedLoads[s.inst.InstanceKey]
 	if !ok || !s.busy || s.loadingModel != "" || s.models[x.model] != nil {
 		return
 	}
@@ -136,7 +136,7 @@
 // requestsInFlight returns the number of requests in flight at a server for a
 // target, from the usage reports that are still valid. A target without an adapter
 // name counts the requests of the model and all its adapters.
-func (p *Planner) requestsInFlight(k site.Key, t site.Adapter) int {
+func (p *Planner) requestsInFlight(k site.InstanceKey, t site.Target) int {
 	n := 0
 	for _, u := range p.usageByFront {
 		if time.Since(u.receivedAt) > usageTTL {
--- a/internal/front/sched/wants.go
+++ b/internal/front/sched/wants.go
@@ -94,7 +94,7 @@
 
 // deleteServedWant deletes the want for a target that an instance serves, unless
 // requests still wait that can't use that instance. The caller must hold p.mu.
-func (p *Planner) deleteServedWant(t site.Adapter, found peers.InstanceReply) {
+func (p *Planner) deleteServedWant(t site.Target, found peers.InstanceReply) {
 	if wanted := p.wants[t]; wanted != nil && len(found.Instances) > 0 && len(wanted.waiters) == 0 {
 		delete(p.wants, t)
 	}
@@ -137,7 +137,7 @@
 
 // recheckReports starts reading the reports of servers that a front couldn't use. The
 // caller must hold p.mu.
-func (p *Planner) recheckReports(keys []site.Key) {
+func (p *Planner) recheckReports(keys []site.InstanceKey) {
 	for _, k := range keys {
 		s := p.servers[k]
 		if s == nil || time.Since(s.reportRequestedAt) < minRecheckInterval {
@@ -153,8 +153,8 @@
 // p.mu.
 func (p *Planner) findInstances(w peers.InstanceRequest) (found peers.InstanceReply, wait bool) {
 	for _, s := range p.servers {
-		if s.inst.Service == w.Service && s.serves(w.Target) && !slices.Contains(w.Avoid, s.inst.Key) {
-			found.Instances = append(found.Instances, s.inst.Key)
+		if s.inst.Service == w.Service && s.serves(w.Target) && !slices.Contains(w.Avoid, s.inst.InstanceKey) {
+			found.Instances = append(found.Instances, s.inst.InstanceKey)
 			s.markUsed(w.Target, time.Now())
 		}
 	}
@@ -174,8 +174,8 @@
 		}
 		return found, true
 	}
-	if model := engine.Model(w.Target.Model); p.noServerPlanned(w.Target) && model.FromStore > w.Wait {
-		found.ReadyIn = model.FromStore
+	if model := engine.Model(w.Target.Model); p.noServerPlanned(w.Target) && model.StoreLoadTime > w.Wait {
+		found.ReadyIn = model.StoreLoadTime
 		found.Reason = "no server can load the model in time"
 		return found, false
 	}
@@ -189,7 +189,7 @@
 // noServerPlanned reports whether a target has been wanted for longer than
 // planningTimeout although no server has its model. The caller has checked that none
 // is loading it.
-func (p *Planner) noServerPlanned(t site.Adapter) bool {
+func (p *Planner) noServerPlanned(t site.Target) bool {
 	wanted := p.wants[t]
 	return wanted != nil && time.Since(wanted.firstRequested) > planningTimeout && p.evictionAllowed(time.Now().Add(-planningTimeout)) && len(p.serversWithModel(wanted.service, t.Model)) == 0
 }
@@ -210,7 +210,7 @@
 func (p *Planner) serversWithModel(service, model string) []*server {
 	var out []*server
 	for _, s := range p.servers {
-		if s.inst.Service == service && s.serves(site.Adapter{Model: model}) {
+		if s.inst.Service == service && s.serves(site.Target{Model: model}) {
 			out = append(out, s)
 		}
 	}
--- a/internal/lab/emul/play.go
+++ b/internal/lab/emul/play.go
@@ -97,11 +97,11 @@
 	p := &simulation{
 		options: o, knowledge: k, spec: DefaultSpec(), rnd: rand.New(rand.NewPCG(o.Seed, 2)), demand: map[string]decay.Count{}, sentRequests: map[string]decay.Count{},
 		prefillSeconds: map[string]decay.Count{}, prefillSpeeds: map[string]speed.Prefill{}, pausePeaks: map[string]decay.Peak{},
-		engine: &site.Engine{Slots: 64, WeightsMB: float64(o.ModelsPerServer*modelMB + adapterMB), LoadsPerSecond: 2.1},
+		engine: &site.Engine{ConcurrentRequests: 64, WeightsMB: float64(o.ModelsPerServer*modelMB + adapterMB), StoreLoadsPerSecond: 2.1},
 	}
 	for i := range o.Models {
 		p.engine.Models = append(p.engine.Models, site.Model{
-			Name: modelName(i), SizeMB: modelMB, FromStore: 6 * time.Second, FromDisk: 840 * time.Millisecond, FromMemory: 400 * time.Millisecond,
+			Name: modelName(i), SizeMB: modelMB, StoreLoadTime: 6 * time.Second, DiskLoadTime: 840 * time.Millisecond, MemoryLoadTime: 400 * time.Millisecond,
 		})
 	}
 	p.placeModels()
@@ -188,7 +188,7 @@
 		uncached = s.uncachedTokens(q)
 	}
 	c := score.Candidate{
-		ID: s.id, SameDomain: true, Connected: true, Slots: p.engine.Slots, InFlight: len(s.batch),
+		ID: s.id, SameDomain: true, Connected: true, Slots: p.engine.ConcurrentRequests, InFlight: len(s.batch),
 		MissingPrefill: p.prefillSpeeds[q.model].Duration(uncached), LongPrefill: score.LongPrefill(q.class.maxGap),
 	}
 	for _, r := range s.batch {
--- a/internal/link/spread/feed.go
+++ b/internal/link/spread/feed.go
@@ -24,7 +24,7 @@
 	if list.Revision < holder.View().Revision() {
 		return false, nil
 	}
-	holder.Apply(delta)
+	holder.ApplyDelta(delta)
 	return true, nil
 }
 
@@ -49,7 +49,7 @@
 		for _, e := range b.Events {
 			d.Entries = append(d.Entries, Entry(strings.TrimPrefix(e.Key, store.StatePrefix), e.Value, e.Revision, e.Deleted))
 		}
-		holder.Apply(d)
+		holder.ApplyDelta(d)
 		return nil
 	})
 }
--- a/internal/link/spread/relay.go
+++ b/internal/link/spread/relay.go
@@ -118,13 +118,13 @@
 		defer cancel()
 		r.waitForNewer(waiting, c, req.Since)
 	}
-	return nextPage(r.holder.View().Since(req.Since), req.Cursor), nil
+	return nextPage(r.holder.View().ChangesSince(req.Since), req.Cursor), nil
 }
 
 // waitForNewer waits until the view is newer than the revision, or the connection or the context ends.
 func (r *Relay) waitForNewer(ctx context.Context, c *peer.Conn, revision int64) {
 	for {
-		v, changed := r.holder.Changed()
+		v, changed := r.holder.ViewAndChange()
 		if v.Revision() > revision {
 			return
 		}
@@ -190,7 +190,7 @@
 		}
 		all.Entries = append(all.Entries, reply.Delta.Entries...)
 	}
-	holder.Apply(all)
+	holder.ApplyDelta(all)
 	return nil
 }
 
--- a/internal/node/agent/agent.go
+++ b/internal/node/agent/agent.go
@@ -126,7 +126,7 @@
 // or the configuration contains a higher one.
 func (a *Agent) watchDeposed(ctx context.Context) error {
 	for {
-		v, changed := a.Member.Holder.Changed()
+		v, changed := a.Member.Holder.ViewAndChange()
 		node, _ := v.Node(a.Member.Self.Name)
 		if epoch := a.guard.Epoch(); epoch > 0 && node.Epoch > epoch {
 			break
@@ -219,10 +219,10 @@
 	expire := time.NewTicker(keyExpiryInterval)
 	defer expire.Stop()
 	for {
-		v, changed := a.Member.Holder.Changed()
+		v, changed := a.Member.Holder.ViewAndChange()
 		capacity := 0
 		if res, ok := v.Service(a.settings.Service.Name); ok {
-			capacity = res.Service.Slots()
+			capacity = res.Service.ConcurrencyLimit()
 		}
 		a.limiter.SetCapacity(capacity)
 		select {
--- a/internal/node/agent/report.go
+++ b/internal/node/agent/report.go
@@ -36,7 +36,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, planWaitTimeout)
 	defer cancel()
-	if err := a.Member.Holder.Wait(ctx, r.Revision-1); err != nil {
+	if err := a.Member.Holder.WaitNewer(ctx, r.Revision-1); err != nil {
 		return wire.ReleaseReply{Reason: "the plan has not arrived"}, nil
 	}
 	released, reason := a.Slots.IsReleased(r.Model, r.Number)
--- a/internal/node/front/front.go
+++ b/internal/node/front/front.go
@@ -190,9 +190,9 @@
 func (f *Front) closeIdleConnections(ctx context.Context) {
 	for pause.For(ctx, idleSweepInterval) {
 		state := f.follower.State()
-		f.pool.Sweep(func(k site.Key) bool {
+		f.pool.Sweep(func(k site.InstanceKey) bool {
 			in, ok := state.Instances[k.ID]
-			return ok && in.Key == k && !in.Leaving
+			return ok && in.InstanceKey == k && !in.Draining
 		})
 		f.callerServer.closeIdle()
 	}
--- a/internal/node/local/local.go
+++ b/internal/node/local/local.go
@@ -166,7 +166,7 @@
 	}
 	d.engineURLs = append(d.engineURLs, url)
 	o, err := d.memberOptions(plan.Node{
-		Name: fmt.Sprintf("engine-%d", i+1), Role: plan.Agent, Domain: domains[i%len(domains)], Back: plan.EngineBack, MemoryBytes: d.settings.Engine.MemoryBytes,
+		Name: fmt.Sprintf("engine-%d", i+1), Role: plan.Agent, Domain: domains[i%len(domains)], Back: plan.EngineEndpoint, MemoryBytes: d.settings.Engine.MemoryBytes,
 	})
 	if err != nil {
 		return err
@@ -189,7 +189,7 @@
 		return err
 	}
 	o, err := d.memberOptions(plan.Node{
-		Name: fmt.Sprintf("%s-%d", name, i+1), Role: plan.Agent, Domain: domains[i%len(domains)], Back: plan.ServiceBack, Service: name,
+		Name: fmt.Sprintf("%s-%d", name, i+1), Role: plan.Agent, Domain: domains[i%len(domains)], Back: plan.ServiceEndpoint, Service: name,
 	})
 	if err != nil {
 		return err
--- a/internal/node/member/member.go
+++ b/internal/node/member/member.go
@@ -115,7 +115,7 @@
 	ctx, cancel := context.WithTimeout(ctx, registerWriteTimeout)
 	defer cancel()
 	_, err = m.Ledger.Write(ctx, ledger.Change{Key: key, Before: kv.Value, After: value, From: kv.Revision, Actor: m.Self.Name, Action: "EpochTaken"})
-	var conflict *fault.Conflict
+	var conflict *fault.RevisionConflict
 	if errors.As(err, &conflict) {
 		return 0, err
 	}
--- a/internal/oper/remote/client.go
+++ b/internal/oper/remote/client.go
@@ -165,7 +165,7 @@
 	req.Header.Set("X-Operator", c.actor)
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return nil, &fault.Away{Part: "entry", Err: err}
+		return nil, &fault.Unavailable{Service: "entry", Err: err}
 	}
 	if resp.StatusCode == http.StatusOK {
 		return resp, nil
--- a/internal/plat/follow/follower.go
+++ b/internal/plat/follow/follower.go
@@ -310,7 +310,7 @@
 			}
 			continue
 		}
-		if in.Leaving || !f.Away(f.times.Returning) {
+		if in.Draining || !f.Away(f.times.Returning) {
 			continue
 		}
 		keys[key] = old.Keys[key]
--- a/internal/plat/follow/follower_test.go
+++ b/internal/plat/follow/follower_test.go
@@ -27,9 +27,9 @@
 }
 
 func (plainDecoder) Instance(key string, data []byte, revision int64) (site.Instance, error) {
-	in := site.Instance{Key: site.Key{ID: key[len("srv/"):]}, Service: "s", Seen: revision}
+	in := site.Instance{InstanceKey: site.InstanceKey{ID: key[len("srv/"):]}, Service: "s", Revision: revision}
 	_, err := fmt.Sscanf(string(data), "at %s", &in.Address)
-	in.Leaving = in.Address == "leaving"
+	in.Draining = in.Address == "leaving"
 	return in, err
 }
 
--- a/internal/plat/follow/state.go
+++ b/internal/plat/follow/state.go
@@ -54,7 +54,7 @@
 func (s *State) Serving(service string) []site.Instance {
 	var out []site.Instance
 	for _, in := range s.Instances {
-		if in.Service == service && !in.Leaving {
+		if in.Service == service && !in.Draining {
 			out = append(out, in)
 		}
 	}
@@ -122,7 +122,7 @@
 func (f *Follower) decodeInstance(old, s *State, kv store.KV) {
 	id := strings.TrimPrefix(kv.Key, f.layout.InstancePrefix)
 	before, known := old.Instances[id]
-	if known && before.Seen == kv.Revision {
+	if known && before.Revision == kv.Revision {
 		s.Instances[id] = before
 		return
 	}
@@ -134,8 +134,8 @@
 		return
 	}
 	s.Instances[id] = in
-	if !known || before.Leaving != in.Leaving || before.Key != in.Key || before.Address != in.Address {
-		f.log.Infow("instance", "Instance", in.ID, "Born", in.Born, "Service", in.Service, "Address", in.Address, "Leaving", in.Leaving, "Models", in.Models, "Revision", kv.Revision)
+	if !known || before.Draining != in.Draining || before.InstanceKey != in.InstanceKey || before.Address != in.Address {
+		f.log.Infow("instance", "Instance", in.ID, "Born", in.Born, "Service", in.Service, "Address", in.Address, "Leaving", in.Draining, "Models", in.Models, "Revision", kv.Revision)
 	}
 }
 
--- a/internal/plat/ledger/ledger.go
+++ b/internal/plat/ledger/ledger.go
@@ -84,7 +84,7 @@
 }
 
 func conflictError(c Change, res store.Result) error {
-	out := &fault.Conflict{Key: c.Key, Expected: c.From}
+	out := &fault.RevisionConflict{Key: c.Key, Expected: c.From}
 	for _, kv := range res.Found {
 		if kv.Key == store.StatePrefix+c.Key {
 			out.Actual = kv.Revision
--- a/internal/plat/store/store.go
+++ b/internal/plat/store/store.go
@@ -108,8 +108,8 @@
 	return backoff.Retry(ctx, func() (Result, error) {
 		res, err := s.Commit(ctx, t)
 		if err != nil {
-			var away *fault.Away
-			if !fault.As(err, &away) || !away.Unsettled {
+			var away *fault.Unavailable
+			if !fault.As(err, &away) || !away.MayHaveApplied {
 				if unsettled {
 					return Result{}, err
 				}
--- a/internal/policy/swap/bench_test.go
+++ b/internal/policy/swap/bench_test.go
@@ -24,9 +24,9 @@
 
 func randomInput(servers, models int) Input {
 	rnd := rand.New(rand.NewPCG(1, 2))
-	e := &site.Engine{Slots: 64, WeightsMB: 220000, AdapterPlaces: 8, LoadsPerSecond: 9}
+	e := &site.Engine{ConcurrentRequests: 64, WeightsMB: 220000, MaxLoadedAdapters: 8, StoreLoadsPerSecond: 9}
 	for i := range models {
-		e.Models = append(e.Models, site.Model{Name: fmt.Sprintf("m%d", i), SizeMB: 72700, Adapters: 20, AdapterMB: 66, FromStore: 13 * time.Second, FromDisk: 840 * time.Millisecond, FromMemory: 400 * time.Millisecond})
+		e.Models = append(e.Models, site.Model{Name: fmt.Sprintf("m%d", i), SizeMB: 72700, AdapterCount: 20, AdapterMB: 66, StoreLoadTime: 13 * time.Second, DiskLoadTime: 840 * time.Millisecond, MemoryLoadTime: 400 * time.Millisecond})
 	}
 	in := Input{Engine: e, StoreLoadsLeft: 1, StoreConcurrency: 1, Demand: map[string]Demand{}}
 	name := func() string { return e.Models[rnd.IntN(models)].Name }
--- a/internal/policy/swap/cost.go
+++ b/internal/policy/swap/cost.go
@@ -45,7 +45,7 @@
 	unservedShare := max(0, 1-1/max(utilization, 1))
 	waitSeconds := (1-unservedShare)*min(unservedWaitSeconds, prefillSeconds*servedUtilization/(1-servedUtilization)) + unservedShare*unservedWaitSeconds
 	if demand.ActiveAdapters > 0 {
-		waitSeconds += adapterMissSeconds * max(0, 1-copies*float64(d.Engine.AdapterPlaces)/float64(demand.ActiveAdapters))
+		waitSeconds += adapterMissSeconds * max(0, 1-copies*float64(d.Engine.MaxLoadedAdapters)/float64(demand.ActiveAdapters))
 	}
 	return demand.Rate * costHorizon.Seconds() * waitSeconds
 }
@@ -107,13 +107,13 @@
 // when more than AtOnce run.
 func (d *decision) weightSource(s *Server, model *site.Model) (Source, time.Duration) {
 	switch {
-	case slices.Contains(s.InMemory, model.Name) && model.FromMemory > 0:
-		return FromMemory, model.FromMemory
-	case slices.Contains(s.OnDisk, model.Name) && model.FromDisk > 0:
-		return FromDisk, model.FromDisk
+	case slices.Contains(s.InMemory, model.Name) && model.MemoryLoadTime > 0:
+		return FromMemory, model.MemoryLoadTime
+	case slices.Contains(s.OnDisk, model.Name) && model.DiskLoadTime > 0:
+		return FromDisk, model.DiskLoadTime
 	}
 	slowdown := max(1, float64(d.StoreLoadsRunning+1)/float64(max(1, d.StoreConcurrency)))
-	return FromStore, time.Duration(float64(model.FromStore) * slowdown)
+	return FromStore, time.Duration(float64(model.StoreLoadTime) * slowdown)
 }
 
 // chooseEvictions returns the models to evict, cheapest first, until the new one
@@ -180,13 +180,13 @@
 // adapterReserveMB returns the memory to keep free for adapters if a server
 // holds its models and the given one.
 func (d *decision) adapterReserveMB(s *Server, model *site.Model) float64 {
-	largest := model.AdapterMB * float64(min(1, model.Adapters))
+	largest := model.AdapterMB * float64(min(1, model.AdapterCount))
 	for _, c := range s.Copies {
-		if m := d.catalogue[c.Model]; m != nil && m.Adapters > 0 {
+		if m := d.catalogue[c.Model]; m != nil && m.AdapterCount > 0 {
 			largest = max(largest, m.AdapterMB)
 		}
 	}
-	return largest * float64(d.Engine.AdapterPlaces)
+	return largest * float64(d.Engine.MaxLoadedAdapters)
 }
 
 // sizeMB returns the memory of a model; an unknown model counts as filling the server.
@@ -215,9 +215,9 @@
 		return drainSeconds
 	}
 	_, reloadTime := d.weightSource(s, model)
-	if reloadTime == model.FromStore && model.FromDisk > 0 {
+	if reloadTime == model.StoreLoadTime && model.DiskLoadTime > 0 {
 		// Weights that a server has loaded stay on its disk.
-		reloadTime = model.FromDisk
+		reloadTime = model.DiskLoadTime
 	}
 	return drainSeconds + lastCopySeconds + rate*costHorizon.Seconds()*reloadTime.Seconds() + recencySeconds/(1+c.Idle.Seconds())
 }
--- a/internal/policy/swap/swap_test.go
+++ b/internal/policy/swap/swap_test.go
@@ -15,11 +15,11 @@
 
 // catalogue returns an engine like those of the sites: three models fit a server.
 func catalogue(models int) *site.Engine {
-	e := &site.Engine{Slots: 64, WeightsMB: 220000, AdapterPlaces: 8, LoadsPerSecond: 2.1}
+	e := &site.Engine{ConcurrentRequests: 64, WeightsMB: 220000, MaxLoadedAdapters: 8, StoreLoadsPerSecond: 2.1}
 	for i := range models {
 		e.Models = append(e.Models, site.Model{
-			Name: fmt.Sprintf("m%d", i), SizeMB: 72700, Adapters: 20, AdapterMB: 66,
-			FromStore: 6 * time.Second, FromDisk: 840 * time.Millisecond, FromMemory: 400 * time.Millisecond,
+			Name: fmt.Sprintf("m%d", i), SizeMB: 72700, AdapterCount: 20, AdapterMB: 66,
+			StoreLoadTime: 6 * time.Second, DiskLoadTime: 840 * time.Millisecond, MemoryLoadTime: 400 * time.Millisecond,
 		})
 	}
 	return e
--- a/internal/standin/engsim/motor.go
+++ b/internal/standin/engsim/motor.go
@@ -125,7 +125,7 @@
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			return &fault.Away{Part: "engine", Err: ctx.Err(), Unsettled: true}
+			return &fault.Unavailable{Service: "engine", Err: ctx.Err(), MayHaveApplied: true}
 		}
 	}
 }
@@ -134,7 +134,7 @@
 // for that load.
 func (m *Engine) Load(ctx context.Context, o engine.Order) error {
 	if err := ctx.Err(); err != nil {
-		return &fault.Away{Part: "engine", Err: err}
+		return &fault.Unavailable{Service: "engine", Err: err}
 	}
 	if err := o.Allowed(ctx); err != nil {
 		return err
@@ -159,7 +159,7 @@
 	}
 	if m.faults.FailLoads > 0 {
 		m.faults.FailLoads--
-		return nil, &fault.Away{Part: "engine", Err: errors.New("load failed"), Unsettled: true}
+		return nil, &fault.Unavailable{Service: "engine", Err: errors.New("load failed"), MayHaveApplied: true}
 	}
 	if s, ok := m.items[o.Item]; ok {
 		return s.settled, nil
@@ -213,7 +213,7 @@
 // Unload removes an item from memory, after a load of it in progress has ended.
 func (m *Engine) Unload(ctx context.Context, o engine.Order) error {
 	if err := ctx.Err(); err != nil {
-		return &fault.Away{Part: "engine", Err: err}
+		return &fault.Unavailable{Service: "engine", Err: err}
 	}
 	if err := o.Allowed(ctx); err != nil {
 		return err
@@ -266,7 +266,7 @@
 	case <-settled:
 		return m.loseAnswer()
 	case <-ctx.Done():
-		return &fault.Away{Part: "engine", Err: ctx.Err(), Unsettled: true}
+		return &fault.Unavailable{Service: "engine", Err: ctx.Err(), MayHaveApplied: true}
 	}
 }
 
@@ -277,7 +277,7 @@
 		return nil
 	}
 	m.faults.LoseAnswers--
-	return &fault.Away{Part: "engine", Err: errors.New("answer lost"), Unsettled: true}
+	return &fault.Unavailable{Service: "engine", Err: errors.New("answer lost"), MayHaveApplied: true}
 }
 
 // Report returns the state of the engine, which is up to ReportLag old.
--- a/internal/standin/kvsim/memory.go
+++ b/internal/standin/kvsim/memory.go
@@ -102,11 +102,11 @@
 		select {
 		case <-time.After(f.Delay):
 		case <-ctx.Done():
-			return &fault.Away{Part: "store", Err: ctx.Err(), Unsettled: true}
+			return &fault.Unavailable{Service: "store", Err: ctx.Err(), MayHaveApplied: true}
 		}
 	}
 	if f.Away {
-		return &fault.Away{Part: "store", Err: errUnavailable, Unsettled: true}
+		return &fault.Unavailable{Service: "store", Err: errUnavailable, MayHaveApplied: true}
 	}
 	return nil
 }
@@ -174,12 +174,12 @@
 	m.expireLeases()
 	for _, p := range t.Puts {
 		if _, ok := m.leases[p.Lease]; p.Lease != 0 && !ok {
-			return store.Result{}, &fault.Missing{Key: "lease"}
+			return store.Result{}, &fault.NotFoundError{Key: "lease"}
 		}
 	}
 	res := m.apply(t)
 	if m.faults.LoseAnswers > 0 && m.rnd.Float64() < m.faults.LoseAnswers {
-		return store.Result{}, &fault.Away{Part: "store", Err: errors.New("answer lost"), Unsettled: true}
+		return store.Result{}, &fault.Unavailable{Service: "store", Err: errors.New("answer lost"), MayHaveApplied: true}
 	}
 	return res, nil
 }
@@ -306,7 +306,7 @@
 		m.mu.Lock()
 		if m.faults.Away {
 			m.mu.Unlock()
-			return &fault.Away{Part: "store watch", Err: errUnavailable}
+			return &fault.Unavailable{Service: "store watch", Err: errUnavailable}
 		}
 		if after < m.compactedRevision {
 			m.mu.Unlock()
--- a/test/contract/store_test.go
+++ b/test/contract/store_test.go
@@ -96,7 +96,7 @@
 			It("refuses a write under a lease that does not exist", func() {
 				_, err := s.Commit(ctx, store.Txn{Puts: []store.Put{{Key: "orphan", Value: []byte("x"), Lease: 999}}})
 				Expect(err).To(HaveOccurred())
-				var missing *fault.Missing
+				var missing *fault.NotFoundError
 				// The etcd dialect has no answer of its own for this and reports a failed call.
 				if name != "etcd JSON client" {
 					Expect(errors.As(err, &missing)).To(BeTrue())
@@ -129,9 +129,9 @@
 			It("reports a call that got no answer as away, unsettled for writes", func() {
 				m.SetFaults(kvsim.Faults{Away: true})
 				_, err := s.Commit(ctx, store.Txn{Puts: []store.Put{{Key: "x"}}})
-				var away *fault.Away
+				var away *fault.Unavailable
 				Expect(errors.As(err, &away)).To(BeTrue())
-				Expect(away.Unsettled).To(BeTrue())
+				Expect(away.MayHaveApplied).To(BeTrue())
 				_, err = s.Range(ctx, "x")
 				Expect(errors.As(err, &away)).To(BeTrue())
 			})
--- a/test/proofs/away_test.go
+++ b/test/proofs/away_test.go
@@ -12,5 +12,5 @@
 	if err == nil {
 		err = errors.New("cut off")
 	}
-	return &fault.Away{Part: "store", Err: err, Unsettled: true}
+	return &fault.Unavailable{Service: "store", Err: err, MayHaveApplied: true}
 }
--- a/test/proofs/rig_test.go
+++ b/test/proofs/rig_test.go
@@ -315,7 +315,7 @@
 		r.motorSet[name] = s
 	}
 	r.mu.Unlock()
-	o, gate := r.options(plan.Node{Name: name, Role: plan.Agent, Domain: domain, Back: plan.EngineBack, MemoryBytes: s.MemoryBytes})
+	o, gate := r.options(plan.Node{Name: name, Role: plan.Agent, Domain: domain, Back: plan.EngineEndpoint, MemoryBytes: s.MemoryBytes})
 	set := conf.DefaultAgent()
 	set.Engine = &conf.Engine{
 		URL: "http://engine", MemoryBytes: s.MemoryBytes, ChecksFence: s.CheckFence, ReportLag: kinds.Duration(s.MaxReportAge), OrderTimeout: kinds.Duration(time.Minute),
@@ -330,7 +330,7 @@
 	if r.shops[name] == nil {
 		r.shops[name] = svcsim.New(service, r.books[service])
 	}
-	o, gate := r.options(plan.Node{Name: name, Role: plan.Agent, Domain: domain, Back: plan.ServiceBack, Service: service})
+	o, gate := r.options(plan.Node{Name: name, Role: plan.Agent, Domain: domain, Back: plan.ServiceEndpoint, Service: service})
 	set := conf.DefaultAgent()
 	set.Service = &conf.Service{Name: service, URL: "http://service"}
 	return r.startAgent(name, set, o, gate, agent.Backs{Plain: r.shops[name]})
@@ -542,7 +542,7 @@
 func (r *rig) enginesOf(nodes map[string]plan.Node) int {
 	n := 0
 	for _, node := range nodes {
-		if node.Back == plan.EngineBack {
+		if node.Back == plan.EngineEndpoint {
 			n++
 		}
 	}
--- a/test/scale/planner_test.go
+++ b/test/scale/planner_test.go
@@ -42,7 +42,7 @@
 		}
 		d.Entries = kept
 	}
-	h.Apply(d)
+	h.ApplyDelta(d)
 	pool, closePool := peer.NewPool(noDial, peer.NewMux(), func() peer.Hello { return peer.Hello{} })
 	b.Cleanup(closePool)
 	memory := kvsim.NewMemoryStore(1)
--- a/test/scale/scale_test.go
+++ b/test/scale/scale_test.go
@@ -39,7 +39,7 @@
 func node(i int) plan.Node {
 	n := plan.Node{
 		Name: fmt.Sprintf("endpoint-%05d", i), Role: plan.Agent, Address: fmt.Sprintf("10.%d.%d.%d:9100", i>>16, i>>8&255, i&255),
-		Region: fmt.Sprintf("region-%d", i%7), Domain: fmt.Sprintf("domain-%02d", i%domains), Epoch: 3, Back: plan.EngineBack, MemoryBytes: 640 << 30,
+		Region: fmt.Sprintf("region-%d", i%7), Domain: fmt.Sprintf("domain-%02d", i%domains), Epoch: 3, Back: plan.EngineEndpoint, MemoryBytes: 640 << 30,
 	}
 	if i%6 == 0 {
 		n.Role, n.Back, n.MemoryBytes = plan.Entry, "", 0
@@ -107,7 +107,7 @@
 			h := view.NewHolder()
 			for b.Loop() {
 				h = view.NewHolder()
-				h.Apply(d)
+				h.ApplyDelta(d)
 			}
 			b.ReportMetric(float64(heap()-before)/(1<<20), "heap-MB")
 			b.ReportMetric(float64(bytes)/(1<<20), "values-MB")
@@ -123,12 +123,12 @@
 		b.Run(s.String(), func(b *testing.B) {
 			h := view.NewHolder()
 			d := configuration(b, s)
-			h.Apply(d)
+			h.ApplyDelta(d)
 			value := encode(b, modelPlan(3, s.nodes))
 			revision := d.Revision
 			for b.Loop() {
 				revision++
-				h.Apply(view.Delta{Revision: revision, Entries: []view.Entry{{Key: "Plan/model-0003", Value: value, Revision: revision}}})
+				h.ApplyDelta(view.Delta{Revision: revision, Entries: []view.Entry{{Key: "Plan/model-0003", Value: value, Revision: revision}}})
 			}
 		})
 	}
@@ -140,11 +140,11 @@
 		b.Run(s.String(), func(b *testing.B) {
 			h := view.NewHolder()
 			d := configuration(b, s)
-			h.Apply(d)
-			h.Apply(view.Delta{Revision: d.Revision + 1, Entries: []view.Entry{{Key: "Plan/model-0003", Value: encode(b, modelPlan(3, s.nodes)), Revision: d.Revision + 1}}})
+			h.ApplyDelta(d)
+			h.ApplyDelta(view.Delta{Revision: d.Revision + 1, Entries: []view.Entry{{Key: "Plan/model-0003", Value: encode(b, modelPlan(3, s.nodes)), Revision: d.Revision + 1}}})
 			bytes := 0
 			for b.Loop() {
-				bytes = len(encode(b, h.View().Since(d.Revision)))
+				bytes = len(encode(b, h.View().ChangesSince(d.Revision)))
 			}
 			b.ReportMetric(float64(bytes), "bytes")
 		})
