--- a/cmd/foxtailcroft/agent.go
+++ b/cmd/foxtailcroft/agent.go
@@ -56,7 +56,7 @@
 		return eris.Wrap(err, "metrics listener")
 	}
 	a, closeAgent := agent.New(settings, o, backs)
-	return supervise(cmd.Context(), o.Log, func(t *tree.Tree) error {
+	return supervise(cmd.Context(), o.Log, func(t *tree.Supervisor) error {
 		t.OnClose(closeAgent)
 		a.Start(t, metrics)
 		return nil
--- a/cmd/foxtailcroft/apply.go
+++ b/cmd/foxtailcroft/apply.go
@@ -72,7 +72,7 @@
 		if err != nil {
 			return nil, err
 		}
-		list, err := conf.Resources(file, data)
+		list, err := conf.DecodeResources(file, data)
 		if err != nil {
 			return nil, err
 		}
--- a/cmd/foxtailcroft/front.go
+++ b/cmd/foxtailcroft/front.go
@@ -55,9 +55,9 @@
 	if settings.MemoryBytes > 0 {
 		debug.SetMemoryLimit(settings.MemoryBytes * softMemoryLimitPercent / 100)
 	}
-	out, closeOut := logs.NewBounded(os.Stdout, logBufferLines)
+	out, closeOut := logs.NewAsyncWriter(os.Stdout, logBufferLines)
 	defer closeOut()
-	log, err := logs.NewSplit(out, "info", settings.Node.Name)
+	log, err := logs.NewAsync(out, "info", settings.Node.Name)
 	if err != nil {
 		return eris.Wrap(err, "logger")
 	}
@@ -85,10 +85,10 @@
 		},
 	})
 	log.Info("starting")
-	return supervise(ctx, log, func(t *tree.Tree) error {
+	return supervise(ctx, log, func(t *tree.Supervisor) error {
 		t.OnClose(closeFront)
 		f.Start(t, listeners)
-		t.Keep("Reload", func(ctx context.Context) { recheckSettings(ctx, reload, file, settings, log) })
+		t.KeepRunning("Reload", func(ctx context.Context) { recheckSettings(ctx, reload, file, settings, log) })
 		return nil
 	}, f.Drain)
 }
--- a/cmd/foxtailcroft/standin.go
+++ b/cmd/foxtailcroft/standin.go
@@ -47,7 +47,7 @@
 
 func standinPlatform(file string) (http.Handler, string, error) {
 	var settings conf.StandinPlatform
-	if err := conf.Read(file, &settings); err != nil {
+	if err := conf.ReadFile(file, &settings); err != nil {
 		return nil, "", err
 	}
 	var list []fleet.Instance
@@ -59,7 +59,7 @@
 
 func standinEngine(file string) (http.Handler, string, error) {
 	var settings conf.StandinEngine
-	if err := conf.Read(file, &settings); err != nil {
+	if err := conf.ReadFile(file, &settings); err != nil {
 		return nil, "", err
 	}
 	m := engsim.New(engsim.Settings{
@@ -71,7 +71,7 @@
 
 func standinService(file string) (http.Handler, string, error) {
 	var settings conf.StandinService
-	if err := conf.Read(file, &settings); err != nil {
+	if err := conf.ReadFile(file, &settings); err != nil {
 		return nil, "", err
 	}
 	return svcsim.New(settings.Name, svcsim.NewRunLog()).Handler(), settings.Listen, nil
--- a/internal/agent/claim/write.go
+++ b/internal/agent/claim/write.go
@@ -7,7 +7,7 @@
 
 	"github.com/google/uuid"
 
-	"foxtailcroft/internal/base/pause"
+	"foxtailcroft/internal/base/sleep"
 	"foxtailcroft/internal/core/fault"
 	"foxtailcroft/internal/plat/store"
 )
@@ -102,7 +102,7 @@
 		case err == nil:
 			return l.resolveRefused(res, key, b.Nonce)
 		}
-		if !pause.For(ctx, retryPause) {
+		if !sleep.For(ctx, retryPause) {
 			l.mu.Lock()
 			l.unconfirmed = &unconfirmedBatch{key, b}
 			l.mu.Unlock()
--- a/internal/agent/slots/manager.go
+++ b/internal/agent/slots/manager.go
@@ -8,7 +8,7 @@
 	"go.uber.org/zap"
 
 	"foxtailcroft/internal/back/engine"
-	"foxtailcroft/internal/base/crew"
+	"foxtailcroft/internal/base/tasks"
 	"foxtailcroft/internal/core/audit"
 	"foxtailcroft/internal/core/kinds"
 	"foxtailcroft/internal/core/plan"
@@ -48,7 +48,7 @@
 	engine   engine.Engine
 	permits  Permitter
 	log      *zap.Logger
-	group    crew.Group
+	group    tasks.Group
 	ctx      context.Context
 
 	mu       sync.Mutex
--- a/internal/agent/slots/orders.go
+++ b/internal/agent/slots/orders.go
@@ -9,7 +9,7 @@
 	"go.uber.org/zap"
 
 	"foxtailcroft/internal/back/engine"
-	"foxtailcroft/internal/base/pause"
+	"foxtailcroft/internal/base/sleep"
 	"foxtailcroft/internal/core/audit"
 	"foxtailcroft/internal/core/kinds"
 )
@@ -178,7 +178,7 @@
 		m.handleFenced(err)
 		return err
 	}
-	if !pause.For(ctx, m.settings.ReportLag+m.settings.OldOrderGrace) {
+	if !sleep.For(ctx, m.settings.ReportLag+m.settings.OldOrderGrace) {
 		return ctx.Err()
 	}
 	return m.ReadBack(ctx)
--- a/internal/agent/worker/work.go
+++ b/internal/agent/worker/work.go
@@ -14,7 +14,7 @@
 	"foxtailcroft/internal/agent/slots"
 	"foxtailcroft/internal/back/engine"
 	"foxtailcroft/internal/back/plain"
-	"foxtailcroft/internal/base/crew"
+	"foxtailcroft/internal/base/tasks"
 	"foxtailcroft/internal/core/fault"
 	"foxtailcroft/internal/core/plan"
 	"foxtailcroft/internal/core/view"
@@ -40,7 +40,7 @@
 	Plain   plain.Service
 	Store   store.Store
 
-	group     crew.Group
+	group     tasks.Group
 	draining  atomic.Bool
 	mu        sync.Mutex
 	claimLogs map[int]*claim.Log
--- a/internal/entry/calls/dispatch.go
+++ b/internal/entry/calls/dispatch.go
@@ -9,7 +9,7 @@
 	"github.com/VictoriaMetrics/metrics"
 	"go.uber.org/zap"
 
-	"foxtailcroft/internal/base/crew"
+	"foxtailcroft/internal/base/tasks"
 	"foxtailcroft/internal/core/fault"
 	"foxtailcroft/internal/core/view"
 	"foxtailcroft/internal/entry/route"
@@ -25,7 +25,7 @@
 	pool             *peer.Pool
 	table            *route.Table
 	log              *zap.Logger
-	background       crew.Group
+	background       tasks.Group
 	lateAnswers      *metrics.Counter
 	repeatedAttempts *metrics.Counter
 
--- a/internal/entry/placer/lease.go
+++ b/internal/entry/placer/lease.go
@@ -5,7 +5,7 @@
 	"encoding/json"
 	"time"
 
-	"foxtailcroft/internal/base/pause"
+	"foxtailcroft/internal/base/sleep"
 	"foxtailcroft/internal/plat/store"
 )
 
@@ -29,7 +29,7 @@
 			p.Log.Info("planner lease acquired; planning starts")
 			p.planUnderLease(ctx, lease)
 		}
-		pause.For(ctx, renewInterval)
+		sleep.For(ctx, renewInterval)
 	}
 }
 
@@ -72,7 +72,7 @@
 		select {
 		case <-changed:
 			// Changes come in bursts; one planning step covers a burst.
-			pause.For(ctx, changeDebounce)
+			sleep.For(ctx, changeDebounce)
 		case <-time.After(planInterval):
 		case <-ctx.Done():
 		}
--- a/internal/front/proxy/find.go
+++ b/internal/front/proxy/find.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"foxtailcroft/internal/base/pause"
+	"foxtailcroft/internal/base/sleep"
 	"foxtailcroft/internal/core/site"
 	"foxtailcroft/internal/front/peers"
 )
@@ -83,7 +83,7 @@
 		return false
 	}
 	// All instances have rejected the request or a connection; they may have capacity again after a short delay.
-	pause.For(ctx, fullInstanceDelay)
+	sleep.For(ctx, fullInstanceDelay)
 	clear(c.tried)
 	return !c.endIfExpired(ctx)
 }
@@ -119,7 +119,7 @@
 		if !errors.As(err, &noPlanner) {
 			c.server.log.Warnw("planner call failed; asking again after a delay", "Request", c.request.ID, "Error", err.Error())
 		}
-		pause.For(ctx, plannerRetryDelay)
+		sleep.For(ctx, plannerRetryDelay)
 		return !c.endIfExpired(ctx)
 	}
 	if found.Waiting {
@@ -132,7 +132,7 @@
 	c.server.tracker.setHolders(c.request.Target, found.Instances)
 	clear(c.tried)
 	if len(c.candidates()) == 0 {
-		pause.For(ctx, fullInstanceDelay)
+		sleep.For(ctx, fullInstanceDelay)
 	}
 	return !c.endIfExpired(ctx)
 }
--- a/internal/front/sched/execute.go
+++ b/internal/front/sched/execute.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"foxtailcroft/internal/back/conns"
-	"foxtailcroft/internal/base/pause"
+	"foxtailcroft/internal/base/sleep"
 	"foxtailcroft/internal/core/site"
 	"foxtailcroft/internal/policy/swap"
 )
@@ -106,7 +106,7 @@
 		if ok || gone {
 			return ok && !gone
 		}
-		if !pause.For(ctx, wait) {
+		if !sleep.For(ctx, wait) {
 			return false
 		}
 		wait = min(2*wait, reportInterval)
@@ -146,7 +146,7 @@
 	p.log.Infow("order", "Instance", in.ID, "Unload", o.Unload, "Model", o.Target.Model, "Adapter", o.Target.Name, "Sequence", o.Sequence,
 		"Fence", fence, "Outcome", string(outcome), "Took", time.Since(began).String(), "Error", errorText(err))
 	if outcome == site.Conflict {
-		pause.For(ctx, maxReportLag)
+		sleep.For(ctx, maxReportLag)
 		p.readReport(ctx, s)
 	}
 	return outcome == site.Accepted || outcome == site.AlreadyDone
@@ -223,7 +223,7 @@
 // loadAdapter evicts the victim, if there is one, and loads an adapter.
 func (p *Planner) loadAdapter(ctx context.Context, s *server, t, victim site.Target) {
 	if p.evictAdapter(ctx, s, victim) && p.sendOrder(ctx, s, site.Order{Target: t}) {
-		pause.For(ctx, adapterLoadTime)
+		sleep.For(ctx, adapterLoadTime)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/front/sched/lead.go
+++ b/internal/front/sched/lead.go
@@ -10,7 +10,7 @@
 	"github.com/google/uuid"
 	"go.uber.org/zap"
 
-	"foxtailcroft/internal/base/pause"
+	"foxtailcroft/internal/base/sleep"
 	"foxtailcroft/internal/core/fault"
 	"foxtailcroft/internal/plat/follow"
 	"foxtailcroft/internal/plat/store"
@@ -117,7 +117,7 @@
 	due := time.Now().Add(l.ttl / renewalsPerTTL)
 	for ctx.Err() == nil && time.Now().Before(due) {
 		s := l.state()
-		if s.Planner == nil && l.registered() && pause.For(ctx, l.claimDelay+rand.N(maxClaimJitter)) {
+		if s.Planner == nil && l.registered() && sleep.For(ctx, l.claimDelay+rand.N(maxClaimJitter)) {
 			l.claimPlannerKey(ctx)
 		}
 		timer := time.NewTimer(time.Until(due))
--- a/internal/front/sched/planner.go
+++ b/internal/front/sched/planner.go
@@ -10,8 +10,8 @@
 	"go.uber.org/zap"
 
 	"foxtailcroft/internal/back/conns"
-	"foxtailcroft/internal/base/crew"
-	"foxtailcroft/internal/base/pause"
+	"foxtailcroft/internal/base/sleep"
+	"foxtailcroft/internal/base/tasks"
 	"foxtailcroft/internal/core/site"
 	"foxtailcroft/internal/front/peers"
 	"foxtailcroft/internal/plat/follow"
@@ -59,7 +59,7 @@
 	state     func() *follow.State
 	client    *serverClient
 	log       *zap.SugaredLogger
-	group     *crew.Group
+	group     *tasks.Group
 
 	mu sync.Mutex
 	// fence is the fencing token of this front's last term as the planner.
@@ -102,7 +102,7 @@
 
 // New returns a planner and a function that waits for its background work to end.
 func New(set Settings, lead *Candidate, state func() *follow.State, pool *conns.Pool, d Dialect, meters *metrics.Set, log *zap.SugaredLogger) (*Planner, func()) {
-	group := &crew.Group{}
+	group := &tasks.Group{}
 	p := &Planner{
 		settings: set, candidate: lead, state: state, client: &serverClient{pool: pool, dialect: d}, log: log, group: group,
 		servers: map[site.InstanceKey]*server{}, wants: map[site.Target]*wantedTarget{}, adaptersLoading: map[site.Target]bool{}, expectedReady: map[string]time.Time{},
@@ -133,14 +133,14 @@
 		p.syncInstances(ctx)
 		p.startWork(ctx)
 		p.answerWaiters()
-		pause.For(ctx, max(minStepPause, time.Since(began)*restRatio))
+		sleep.For(ctx, max(minStepPause, time.Since(began)*restRatio))
 	}
 }
 
 // RunReports reads the reports of all model servers periodically while this front
 // is the planner.
 func (p *Planner) RunReports(ctx context.Context) {
-	for pause.For(ctx, max(reportInterval, time.Duration(len(p.serverList()))*minReportSpacing)) {
+	for sleep.For(ctx, max(reportInterval, time.Duration(len(p.serverList()))*minReportSpacing)) {
 		if !p.checkLeadership() {
 			continue
 		}
--- a/internal/link/peer/conn.go
+++ b/internal/link/peer/conn.go
@@ -12,7 +12,7 @@
 
 	"github.com/sourcegraph/jsonrpc2"
 
-	"foxtailcroft/internal/base/crew"
+	"foxtailcroft/internal/base/tasks"
 )
 
 const (
@@ -52,7 +52,7 @@
 	rpc        *jsonrpc2.Conn
 	transport  *monitoredConn
 	frames     *frameStream
-	group      crew.Group
+	group      tasks.Group
 	activeWork atomic.Int64
 }
 
--- a/internal/link/spread/follow.go
+++ b/internal/link/spread/follow.go
@@ -10,7 +10,7 @@
 	"github.com/cespare/xxhash/v2"
 	"go.uber.org/zap"
 
-	"foxtailcroft/internal/base/pause"
+	"foxtailcroft/internal/base/sleep"
 	"foxtailcroft/internal/core/plan"
 	"foxtailcroft/internal/core/view"
 	"foxtailcroft/internal/link/peer"
@@ -59,7 +59,7 @@
 	for ctx.Err() == nil {
 		if err := f.pullOrWatch(ctx, parent); err != nil && ctx.Err() == nil {
 			f.Log.Info("pulling or watching the configuration failed; retrying", zap.Int("Parent", parent), zap.Error(err))
-			pause.For(ctx, retryDelay)
+			sleep.For(ctx, retryDelay)
 		}
 	}
 }
@@ -68,13 +68,13 @@
 func (f *Follower) pullOrWatch(ctx context.Context, parent int) error {
 	if f.Holder.View().Revision() == 0 {
 		// Bootstrap loads the first configuration.
-		pause.For(ctx, bootstrapPollInterval)
+		sleep.For(ctx, bootstrapPollInterval)
 		return nil
 	}
 	relay, ok := f.parentRelay(parent)
 	switch {
 	case !ok:
-		pause.For(ctx, pollTimeout)
+		sleep.For(ctx, pollTimeout)
 		return nil
 	case relay.Name == f.Self.Name:
 		return f.watchAsRoot(ctx)
--- a/internal/node/agent/agent.go
+++ b/internal/node/agent/agent.go
@@ -17,7 +17,7 @@
 	"foxtailcroft/internal/back/plain"
 	"foxtailcroft/internal/base/conf"
 	"foxtailcroft/internal/base/logs"
-	"foxtailcroft/internal/base/pause"
+	"foxtailcroft/internal/base/sleep"
 	"foxtailcroft/internal/base/tree"
 	"foxtailcroft/internal/core/fault"
 	"foxtailcroft/internal/link/peer"
@@ -87,7 +87,7 @@
 	s := slots.Settings{
 		Node: a.Member.Self.Name, MemoryBytes: a.settings.Engine.MemoryBytes, OrderTimeout: a.settings.Engine.OrderTimeout.Std(),
 		ReportLag: a.settings.Engine.ReportLag.Std(), CheckEpoch: a.guard.CheckEpoch,
-		RecordEviction: logs.Audit(a.log),
+		RecordEviction: logs.AuditLogger(a.log),
 	}
 	if !a.settings.Engine.ChecksFence {
 		s.OldOrderGrace = predecessorGrace
@@ -100,25 +100,25 @@
 
 // Start adds the agent's tasks to the tree: it serves peers, takes over the
 // endpoint and, if metrics is not nil, serves metrics on that listener.
-func (a *Agent) Start(t *tree.Tree, metrics net.Listener) {
+func (a *Agent) Start(t *tree.Supervisor, metrics net.Listener) {
 	a.Member.Start(t)
 	t.OnClose(a.Web.Close)
 	if metrics != nil {
 		t.Critical("MetricsServer", func(context.Context) error { return a.Web.Serve(metrics) })
 	}
-	t.Keep("Guard", a.guard.Run)
-	t.Keep("Attempts", a.Registry.Sweep)
-	t.Keep("TakeOver", func(ctx context.Context) {
+	t.KeepRunning("Guard", a.guard.Run)
+	t.KeepRunning("Attempts", a.Registry.Sweep)
+	t.KeepRunning("TakeOver", func(ctx context.Context) {
 		a.takeOver(ctx)
 		<-ctx.Done()
 	})
 	t.Critical("Deposed", a.watchDeposed)
 	if a.Slots == nil {
-		t.Keep("Gate", a.watchService)
+		t.KeepRunning("Gate", a.watchService)
 		return
 	}
-	t.Keep("Slots", a.Slots.Run)
-	t.Keep("ReadBack", a.pollEngine)
+	t.KeepRunning("Slots", a.Slots.Run)
+	t.KeepRunning("ReadBack", a.pollEngine)
 }
 
 // watchDeposed drains the agent and returns an error, which ends the process,
@@ -165,7 +165,7 @@
 			break
 		}
 		a.log.Warn("reading the plan from the store failed or returned an older revision; retrying", zap.Error(err))
-		pause.For(ctx, time.Second)
+		sleep.For(ctx, time.Second)
 	}
 	if a.Slots != nil && ctx.Err() == nil {
 		a.retryEngineRead(ctx, func(ctx context.Context) error { return a.Slots.Recover(ctx, epoch) })
@@ -182,7 +182,7 @@
 			return fromStore
 		}
 		a.log.Warn("loading the first configuration failed; retrying", zap.Error(err))
-		pause.For(ctx, time.Second)
+		sleep.For(ctx, time.Second)
 	}
 	return false
 }
@@ -195,7 +195,7 @@
 			return
 		}
 		a.log.Warn("reading the engine's state failed; retrying", zap.Error(err))
-		pause.For(ctx, time.Second)
+		sleep.For(ctx, time.Second)
 	}
 }
 
@@ -203,7 +203,7 @@
 // an order of this agent.
 func (a *Agent) pollEngine(ctx context.Context) {
 	for ctx.Err() == nil {
-		pause.For(ctx, readBackInterval)
+		sleep.For(ctx, readBackInterval)
 		if !a.Slots.LoadsAllowed() {
 			continue
 		}
@@ -246,7 +246,7 @@
 	ctx, cancel := context.WithTimeout(ctx, a.settings.Drain.Limit.Std())
 	defer cancel()
 	for a.Registry.AwaitedCount() > 0 && ctx.Err() == nil {
-		pause.For(ctx, drainPollInterval)
+		sleep.For(ctx, drainPollInterval)
 	}
 	for _, attempt := range a.Registry.ActiveAttempts() {
 		attempt.Abort()
--- a/internal/node/check/suite.go
+++ b/internal/node/check/suite.go
@@ -36,7 +36,7 @@
 		if err != nil {
 			return nil, err
 		}
-		list, err := conf.Resources(name, data)
+		list, err := conf.DecodeResources(name, data)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/node/entry/entry.go
+++ b/internal/node/entry/entry.go
@@ -9,7 +9,7 @@
 	"go.uber.org/zap"
 
 	"foxtailcroft/internal/base/conf"
-	"foxtailcroft/internal/base/pause"
+	"foxtailcroft/internal/base/sleep"
 	"foxtailcroft/internal/base/tree"
 	"foxtailcroft/internal/entry/admin"
 	"foxtailcroft/internal/entry/admit"
@@ -61,17 +61,17 @@
 
 // Start adds the entry's tasks to the tree: it serves peers, follows the configuration, runs the planner and,
 // if callers is not nil, serves callers on that listener.
-func (e *Entry) Start(t *tree.Tree, callers net.Listener) {
+func (e *Entry) Start(t *tree.Supervisor, callers net.Listener) {
 	e.Member.Start(t)
 	t.OnClose(e.Web.Close)
 	if callers != nil {
 		t.Critical("CallerServer", func(context.Context) error { return e.Web.Serve(callers) })
 	}
-	t.Keep("Join", func(ctx context.Context) {
+	t.KeepRunning("Join", func(ctx context.Context) {
 		e.join(ctx)
 		<-ctx.Done()
 	})
-	t.Keep("Planner", e.Placer.Run)
+	t.KeepRunning("Planner", e.Placer.Run)
 }
 
 // join loads the first configuration, turns readiness on and registers the node.
@@ -82,7 +82,7 @@
 			break
 		}
 		e.log.Warn("loading the first configuration failed; retrying", zap.Error(err))
-		pause.For(ctx, bootstrapRetryDelay)
+		sleep.For(ctx, bootstrapRetryDelay)
 	}
 	e.Web.SetReady(true)
 	if _, err := e.Member.Join(ctx); err != nil {
@@ -97,7 +97,7 @@
 // then are refused; each refusal tells whether the request may have run.
 func (e *Entry) Drain(ctx context.Context) {
 	e.Web.SetReady(false)
-	pause.For(ctx, e.settings.Drain.Notice.Std())
+	sleep.For(ctx, e.settings.Drain.Notice.Std())
 	ctx, cancel := context.WithTimeout(ctx, e.settings.Drain.Limit.Std())
 	defer cancel()
 	if err := e.Web.Shutdown(ctx, &calls.ShutdownError{}); err != nil {
--- a/internal/node/front/front.go
+++ b/internal/node/front/front.go
@@ -12,7 +12,7 @@
 	"foxtailcroft/internal/back/conns"
 	"foxtailcroft/internal/base/clock"
 	"foxtailcroft/internal/base/conf"
-	"foxtailcroft/internal/base/pause"
+	"foxtailcroft/internal/base/sleep"
 	"foxtailcroft/internal/base/tree"
 	"foxtailcroft/internal/core/site"
 	"foxtailcroft/internal/front/peers"
@@ -121,7 +121,7 @@
 )
 
 // Start starts serving on the listeners, and all background tasks of the front.
-func (f *Front) Start(t *tree.Tree, l Listeners) {
+func (f *Front) Start(t *tree.Supervisor, l Listeners) {
 	peerServer, closePeerServer := peer.NewServer(l.Peers, f.mux, f.hello)
 	t.OnClose(closePeerServer)
 	t.Critical("Peers", peerServer.Serve)
@@ -131,19 +131,19 @@
 	}
 	t.OnClose(f.callerServer.close)
 	t.Critical("Callers", func(context.Context) error { return f.callerServer.serve(l.Callers) })
-	t.Keep("Follow", f.follower.Run)
-	t.Keep("Reread", f.follower.RunReread)
-	t.Keep("Peers", f.follower.RunPeers)
-	t.Keep("Missing", f.follower.RunMissing)
-	t.Keep("Lead", f.election.Run)
-	t.Keep("Planner", f.planner.Run)
-	t.Keep("Reports", f.planner.RunReports)
-	t.Keep("Uses", f.reportUsage)
-	t.Keep("Sweep", f.closeIdleConnections)
+	t.KeepRunning("Follow", f.follower.Run)
+	t.KeepRunning("Reread", f.follower.RunReread)
+	t.KeepRunning("Peers", f.follower.RunPeers)
+	t.KeepRunning("Missing", f.follower.RunMissing)
+	t.KeepRunning("Lead", f.election.Run)
+	t.KeepRunning("Planner", f.planner.Run)
+	t.KeepRunning("Reports", f.planner.RunReports)
+	t.KeepRunning("Uses", f.reportUsage)
+	t.KeepRunning("Sweep", f.closeIdleConnections)
 }
 
 // auxiliaryServer returns a function that serves a handler on its own listener, apart from callers' requests.
-func (f *Front) auxiliaryServer(t *tree.Tree, l net.Listener, h http.Handler) func(context.Context) error {
+func (f *Front) auxiliaryServer(t *tree.Supervisor, l net.Listener, h http.Handler) func(context.Context) error {
 	server := &http.Server{Handler: h, ReadHeaderTimeout: 2 * time.Second}
 	t.OnClose(func() {
 		// The process is about to exit, which closes any connection that fails to close here.
@@ -155,7 +155,7 @@
 // reportUsage periodically reports this front's usage to the planner; without a planner it waits.
 func (f *Front) reportUsage(ctx context.Context) {
 	var reportedFence int64
-	for pause.For(ctx, f.usageInterval()) {
+	for sleep.For(ctx, f.usageInterval()) {
 		planner := f.follower.State().Planner
 		if planner == nil {
 			continue
@@ -188,7 +188,7 @@
 // closeIdleConnections periodically closes idle connections to instances that are
 // gone or leaving, and connections of callers that were idle for too long.
 func (f *Front) closeIdleConnections(ctx context.Context) {
-	for pause.For(ctx, idleSweepInterval) {
+	for sleep.For(ctx, idleSweepInterval) {
 		state := f.follower.State()
 		f.pool.Sweep(func(k site.InstanceKey) bool {
 			in, ok := state.Instances[k.ID]
--- a/internal/node/front/ready.go
+++ b/internal/node/front/ready.go
@@ -7,7 +7,7 @@
 	"sync/atomic"
 	"time"
 
-	"foxtailcroft/internal/base/pause"
+	"foxtailcroft/internal/base/sleep"
 )
 
 // lifecycle is the state of a front between start and exit.
@@ -54,7 +54,7 @@
 	defer cancel()
 	f.election.Resign(ctx)
 	f.callerServer.closeAfterAnswers()
-	pause.For(ctx, min(unreadyNoticeTime, time.Until(deadline)/2))
+	sleep.For(ctx, min(unreadyNoticeTime, time.Until(deadline)/2))
 	if err := f.callerServer.drain(ctx); err != nil {
 		f.log.Warnw("requests were cut off", "Error", err.Error())
 	}
--- a/internal/node/local/local.go
+++ b/internal/node/local/local.go
@@ -66,7 +66,7 @@
 	Members []*member.Member
 
 	settings   Settings
-	tree       *tree.Tree
+	tree       *tree.Supervisor
 	log        *zap.Logger
 	instances  []fleet.Instance
 	engineURLs []string
@@ -87,8 +87,8 @@
 }
 
 // Failed returns a channel that delivers the first failure of a critical part, after which the deployment ends.
-func (d *Deployment) Failed() <-chan *tree.Failed {
-	return d.tree.Failed()
+func (d *Deployment) Failed() <-chan *tree.Failure {
+	return d.tree.Failures()
 }
 
 func (d *Deployment) startAll() error {
--- a/internal/node/member/member.go
+++ b/internal/node/member/member.go
@@ -59,7 +59,7 @@
 	m.Pool, m.Server = pool, server
 	m.Relay = spread.NewRelay(o.Self.Name, m.Holder, m.Mux)
 	m.Follower = &spread.Follower{Self: o.Self, Holder: m.Holder, Relay: m.Relay, Store: o.Store, List: o.List, Pool: pool, Log: o.Log.Named("Spread")}
-	m.Ledger = ledger.New(o.Store, logs.Audit(o.Log))
+	m.Ledger = ledger.New(o.Store, logs.AuditLogger(o.Log))
 	o.Meters.GetOrCreateGauge("foxtailcroft_revision", func() float64 { return float64(m.Holder.View().Revision()) })
 	o.Meters.GetOrCreateGauge("foxtailcroft_peer_bytes_sent", func() float64 { return float64(m.BytesSent()) })
 	return m, func() {
@@ -69,10 +69,10 @@
 }
 
 // Start adds tasks to the tree that serve the other processes and follow the configuration.
-func (m *Member) Start(t *tree.Tree) {
+func (m *Member) Start(t *tree.Supervisor) {
 	t.Critical("PeerServer", m.Server.Serve)
 	for parent := range spread.Parents {
-		t.Keep("Follower", func(ctx context.Context) { m.Follower.Run(ctx, parent) })
+		t.KeepRunning("Follower", func(ctx context.Context) { m.Follower.Run(ctx, parent) })
 	}
 }
 
--- a/internal/plat/follow/follower.go
+++ b/internal/plat/follow/follower.go
@@ -9,7 +9,7 @@
 
 	"go.uber.org/zap"
 
-	"foxtailcroft/internal/base/pause"
+	"foxtailcroft/internal/base/sleep"
 	"foxtailcroft/internal/core/site"
 	"foxtailcroft/internal/plat/store"
 )
@@ -97,7 +97,7 @@
 			if f.State().Document == nil {
 				wait = startupRetryInterval
 			}
-			pause.For(ctx, wait)
+			sleep.For(ctx, wait)
 			continue
 		}
 		f.markAvailable()
@@ -126,14 +126,14 @@
 func (f *Follower) watch(ctx context.Context) {
 	for ctx.Err() == nil {
 		if !f.probeStore(ctx) {
-			pause.For(ctx, storeRetryInterval)
+			sleep.For(ctx, storeRetryInterval)
 			continue
 		}
 		err := f.store.Watch(ctx, "", f.State().Revision, func(b store.Batch) error {
 			f.markAvailable()
 			f.applyBatch(b)
 			if len(b.Events) > 0 {
-				pause.For(ctx, f.batchDelay())
+				sleep.For(ctx, f.batchDelay())
 			}
 			return nil
 		})
@@ -144,7 +144,7 @@
 		}
 		if ctx.Err() == nil {
 			f.markUnavailable(err)
-			pause.For(ctx, storeRetryInterval)
+			sleep.For(ctx, storeRetryInterval)
 		}
 	}
 }
@@ -175,7 +175,7 @@
 
 // RunReread reads the document linearizably every rereadInterval, in case the watch drops changes.
 func (f *Follower) RunReread(ctx context.Context) {
-	for pause.For(ctx, rereadInterval) {
+	for sleep.For(ctx, rereadInterval) {
 		kv, ok, err := f.store.Get(ctx, f.layout.DocumentKey)
 		if err != nil || !ok {
 			continue
@@ -192,7 +192,7 @@
 
 // RunPeers polls other fronts for newer views while the store is unavailable or no document is known.
 func (f *Follower) RunPeers(ctx context.Context) {
-	for pause.For(ctx, peerPollInterval) {
+	for sleep.For(ctx, peerPollInterval) {
 		if f.peers == nil || !f.Away(0) && f.State().Document != nil {
 			continue
 		}
@@ -205,7 +205,7 @@
 
 // RunMissing removes instances that did not announce themselves again after an outage.
 func (f *Follower) RunMissing(ctx context.Context) {
-	for pause.For(ctx, missingCheckInterval) {
+	for sleep.For(ctx, missingCheckInterval) {
 		if f.Away(f.times.Returning) {
 			continue
 		}
