--- a/cmd/foxtailcroft/front.go
+++ b/cmd/foxtailcroft/front.go
@@ -75,13 +75,13 @@
 		return float64(routine)
 	})
 	f, closeFront := front.New(front.Options{
-		Settings: settings, Dialect: platform.Dialect{}, DialInstance: conns.TCP, DialPeer: conns.TCP, ReadyPath: platform.ReadyPath, Metrics: meters, Log: log,
+		Settings: settings, Dialect: platform.Dialect{}, DialInstance: conns.DialTCP, DialPeer: conns.DialTCP, ReadyPath: platform.ReadyPath, Metrics: meters, Log: log,
 		Store: platform.NewStore(settings.Store, &http.Transport{DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
-			return conns.TCP(ctx, address)
+			return conns.DialTCP(ctx, address)
 		}}, min(settings.Bounds.InForce, settings.Bounds.Contact*2/3), meters),
 		StoreLayout: follow.Layout{
-			DocumentKey: platform.ConfigKey, InstancePrefix: platform.ServerPrefix,
-			Prefixes: []string{platform.OperatorPrefix, platform.ServerPrefix, follow.OwnPrefix},
+			DocumentKey: platform.DocumentKey, InstancePrefix: platform.ServerPrefix,
+			Prefixes: []string{platform.OperatorPrefix, platform.ServerPrefix, follow.SystemPrefix},
 		},
 	})
 	log.Info("starting")
@@ -114,7 +114,7 @@
 // openListeners opens the listeners of a front that have an address.
 func openListeners(ctx context.Context, l conf.FrontListen) (front.Listeners, error) {
 	var out front.Listeners
-	config := net.ListenConfig{KeepAliveConfig: conns.KeepAlive, Control: conns.Control}
+	config := net.ListenConfig{KeepAliveConfig: conns.KeepAlive, Control: conns.SetUserTimeout}
 	for _, spec := range []struct {
 		name, address string
 		dest          *net.Listener
--- a/internal/agent/claim/write.go
+++ b/internal/agent/claim/write.go
@@ -122,7 +122,7 @@
 // resolveRefused handles a refused transaction: either an earlier try had been
 // applied and its answer was lost, or the partition has another owner.
 func (l *Log) resolveRefused(res store.Result, key, nonce string) error {
-	for _, kv := range res.Found {
+	for _, kv := range res.Current {
 		if kv.Key == key && decodeBatch(kv.Value).Nonce == nonce {
 			return l.advanceSequence()
 		}
--- a/internal/agent/fence/guard_test.go
+++ b/internal/agent/fence/guard_test.go
@@ -57,7 +57,7 @@
 				}
 				s.SetFaults(kvsim.Faults{Away: c.storeAway})
 				eng := engsim.New(engsim.Settings{MemoryBytes: 10, LoadTime: time.Second})
-				err := eng.Load(context.Background(), engine.Order{Item: engine.Item{Model: "m"}, Bytes: 1, Fence: 1, Check: guard.CheckEpoch})
+				err := eng.Load(context.Background(), engine.Order{Item: engine.Item{Model: "m"}, Bytes: 1, Fence: 1, Authorize: guard.CheckEpoch})
 				var fenced *engine.Fenced
 				g.Expect(err == nil).To(Equal(c.loaded), "%v", err)
 				g.Expect(errors.As(err, &fenced)).To(Equal(c.fenced), "%v", err)
--- a/internal/agent/worker/model.go
+++ b/internal/agent/worker/model.go
@@ -65,7 +65,7 @@
 		finish, err := w.Engine.Generate(ctx, engine.Request{
 			Item: grant.Item, Body: a.Body, Priority: a.Run.Class.Rank(), SkipTokens: s.nextIndex, Prefix: s.text,
 		}, s.emitToken)
-		var broken *engine.Broken
+		var broken *engine.BrokenStream
 		if err == nil || ctx.Err() != nil || try == maxGenerations || !errors.As(err, &broken) {
 			return finish, err
 		}
--- a/internal/back/conns/pool.go
+++ b/internal/back/conns/pool.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// Connected reports whether the pool has a reusable idle connection to a target.
-func (p *Pool) Connected(t Target) bool {
+// HasIdle reports whether the pool has a reusable idle connection to a target.
+func (p *Pool) HasIdle(t Target) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
--- a/internal/back/engine/client.go
+++ b/internal/back/engine/client.go
@@ -73,7 +73,7 @@
 func (c *Client) orderOnce(ctx context.Context, path string, o Order) (done bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	if err := o.Allowed(ctx); err != nil {
+	if err := o.Authorized(ctx); err != nil {
 		var fenced *Fenced
 		if errors.As(err, &fenced) {
 			return false, backoff.Permanent(err)
@@ -100,7 +100,7 @@
 	case http.StatusConflict:
 		return false, backoff.Permanent(&Fenced{Given: o.Fence, Current: p.Fence})
 	case http.StatusInsufficientStorage:
-		return false, backoff.Permanent(&NoMemory{Item: o.Item, Free: p.FreeBytes})
+		return false, backoff.Permanent(&OutOfMemory{Item: o.Item, Free: p.FreeBytes})
 	}
 	return false, &fault.Unavailable{Service: "engine", Err: fmt.Errorf("%s answered %s: %s", path, resp.Status, p.Error), MayHaveApplied: true}
 }
@@ -145,7 +145,7 @@
 	}
 	r := Report{MemoryBytes: body.MemoryBytes, Running: body.Running, Cached: body.Cached}
 	for _, i := range body.Items {
-		r.Held = append(r.Held, Held{Item: Item{Model: i.Model, Adapter: i.Adapter, Version: i.Version}, Bytes: i.Bytes, Loading: i.State == "loading"})
+		r.Items = append(r.Items, LoadedItem{Item: Item{Model: i.Model, Adapter: i.Adapter, Version: i.Version}, Bytes: i.Bytes, Loading: i.State == "loading"})
 	}
 	return r, nil
 }
--- a/internal/back/engine/stream.go
+++ b/internal/back/engine/stream.go
@@ -132,7 +132,7 @@
 }
 
 func (r *streamReader) brokenError(err error) error {
-	return &Broken{Tokens: r.nextIndex, Err: err}
+	return &BrokenStream{Tokens: r.nextIndex, Err: err}
 }
 
 // readLine parses one line of the stream.
--- a/internal/front/proxy/answer.go
+++ b/internal/front/proxy/answer.go
@@ -43,7 +43,7 @@
 	if err == nil && len(data) > maxAnswerBytes {
 		err = fmt.Errorf("answer over %d bytes", maxAnswerBytes)
 	}
-	res.Done(err == nil)
+	res.Finish(err == nil)
 	if ctx.Err() != nil {
 		return tryAnother
 	}
--- a/internal/front/proxy/call.go
+++ b/internal/front/proxy/call.go
@@ -123,7 +123,7 @@
 	c.server.dialect.SetRequestHeaders(header, in.ID, time.Until(c.deadline), min(9, c.route.Priority), lastEvent)
 	res, err := c.server.pool.Do(ctx, conns.Target{InstanceKey: in.InstanceKey, Address: in.Address}, &conns.Request{
 		Method: c.r.Method, URI: c.r.RequestURI, Host: c.r.Host, Header: header, Body: c.body,
-		Mine: func(h http.Header) bool { return c.server.dialect.MatchesRequest(h, c.request.ID) },
+		IsOwn: func(h http.Header) bool { return c.server.dialect.MatchesRequest(h, c.request.ID) },
 	})
 	if err != nil {
 		return c.handleNoAnswer(ctx, in, err)
--- a/internal/front/proxy/find.go
+++ b/internal/front/proxy/find.go
@@ -41,7 +41,7 @@
 	for {
 		c.state = c.server.stateSource.State()
 		list := c.untried(c.candidates())
-		if chosen, ok := c.server.tracker.pickInstance(list, c.server.settings.Node.Domain, &c.request, c.route.MaxTokenGap, c.server.pool.Connected); ok {
+		if chosen, ok := c.server.tracker.pickInstance(list, c.server.settings.Node.Domain, &c.request, c.route.MaxTokenGap, c.server.pool.HasIdle); ok {
 			c.lastChoice = chosen
 			return chosen.Instance, true
 		}
--- a/internal/front/proxy/raw_test.go
+++ b/internal/front/proxy/raw_test.go
@@ -76,7 +76,7 @@
 			defer conn.Close()
 			r.sendRaw(conn, sent)
 			time.Sleep(5 * time.Second)
-			runs := r.executions.All()
+			runs := r.executions.Executions()
 			seen := map[string]bool{}
 			for _, run := range runs {
 				r.g.Expect(seen[run.ID]).To(BeFalse(), "%s ran twice", run.ID)
@@ -88,7 +88,7 @@
 					}
 				}
 				r.g.Expect(source).NotTo(BeNil(), "%s ran but was not sent", run.ID)
-				r.g.Expect(run.Body).To(Equal(source.bodyBytes), "body length of %q", source.bytes)
+				r.g.Expect(run.BodyBytes).To(Equal(source.bodyBytes), "body length of %q", source.bytes)
 			}
 		})
 	})
@@ -129,7 +129,7 @@
 		r.g.Expect(err).NotTo(HaveOccurred())
 		r.g.Expect(res.StatusCode).To(Equal(http.StatusRequestTimeout))
 		r.g.Expect(time.Since(began)).To(BeNumerically("<", time.Second))
-		r.g.Expect(r.executions.All()).To(BeEmpty())
+		r.g.Expect(r.executions.Executions()).To(BeEmpty())
 	})
 }
 
--- a/internal/front/proxy/stream.go
+++ b/internal/front/proxy/stream.go
@@ -41,7 +41,7 @@
 // relayStream passes events on as they arrive; a broken stream is resumed at another instance where that is allowed.
 func (c *call) relayStream(ctx context.Context, in site.Instance, res *conns.Response) nextStep {
 	if !c.server.dialect.IsSigned(res.Header) {
-		res.Done(false)
+		res.Finish(false)
 		c.server.tracker.recordOutcome(in.InstanceKey, true)
 		c.reason = "stream without signature or with an encoding"
 		return c.handleFailure(true)
@@ -50,15 +50,15 @@
 	for {
 		event, id, err := readEvent(reader)
 		if errors.Is(err, io.EOF) && len(event) == 0 {
-			res.Done(true)
+			res.Finish(true)
 			return c.endStream(in, res)
 		}
 		if err != nil {
-			res.Done(false)
+			res.Finish(false)
 			return c.handleBrokenStream(ctx, in, err)
 		}
 		if err := c.relayEvent(in.InstanceKey, res, event, id); err != nil {
-			res.Done(false)
+			res.Finish(false)
 			c.endCallerLeft()
 		}
 	}
--- a/internal/front/sched/churn_test.go
+++ b/internal/front/sched/churn_test.go
@@ -58,7 +58,7 @@
 		t.Logf("%d orders, %d requests arrived after their adapter was evicted", orders, missed.Load())
 		c.g.Expect(missed.Load()).To(BeZero())
 		c.g.Expect(orders).To(BeNumerically("<=", 2*adapters*rounds))
-		c.g.Expect(c.orderBook.Broken()).To(BeEmpty())
+		c.g.Expect(c.orderBook.Breaches()).To(BeEmpty())
 	})
 }
 
@@ -70,7 +70,7 @@
 	})
 	c.g.Expect(err).NotTo(HaveOccurred())
 	_, err = io.Copy(io.Discard, res.Body)
-	res.Done(err == nil)
+	res.Finish(err == nil)
 	return res.Status
 }
 
@@ -124,7 +124,7 @@
 		c.g.Expect(err).NotTo(HaveOccurred())
 		c.g.Expect(found.Instances).To(HaveLen(1), found.Reason)
 		group.Wait()
-		c.g.Expect(c.orderBook.Broken()).To(BeEmpty())
+		c.g.Expect(c.orderBook.Breaches()).To(BeEmpty())
 	})
 }
 
--- a/internal/front/sched/client.go
+++ b/internal/front/sched/client.go
@@ -83,6 +83,6 @@
 		return 0, nil, err
 	}
 	data, err := io.ReadAll(io.LimitReader(res.Body, maxReplyBytes))
-	res.Done(err == nil)
+	res.Finish(err == nil)
 	return res.Status, data, err
 }
--- a/internal/front/sched/lead.go
+++ b/internal/front/sched/lead.go
@@ -235,7 +235,7 @@
 	if l.leaving || l.suspended() || !checked && time.Since(l.renewedAt) > l.ttl*3/4 {
 		return 0, false
 	}
-	return p.Fence, true
+	return p.FencingToken, true
 }
 
 // Resign gives up the registration and the planner's key by releasing the lease.
--- a/internal/front/sched/planner_test.go
+++ b/internal/front/sched/planner_test.go
@@ -24,7 +24,7 @@
 	"foxtailcroft/internal/policy/loads"
 	"foxtailcroft/internal/standin/kvsim"
 	"foxtailcroft/platform"
-	"foxtailcroft/platform/mimic"
+	"foxtailcroft/platform/fake"
 	"foxtailcroft/test/draws"
 	"foxtailcroft/test/pipes"
 )
@@ -43,8 +43,8 @@
 	ctx       context.Context
 	net       *pipes.Network
 	memory    *kvsim.MemoryStore
-	orderBook *mimic.Book
-	servers   []*mimic.Server
+	orderBook *fake.ExecutionLog
+	servers   []*fake.Server
 	stops     []func()
 	// checksFence makes the servers reject old fencing tokens.
 	checksFence bool
@@ -108,7 +108,7 @@
 func runClusterWith(t *testing.T, checksFence bool, servers, fronts, models int, test func(*cluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		c := &cluster{g: NewWithT(t), ctx: ctx, net: pipes.New(), memory: kvsim.NewMemoryStore(1), orderBook: &mimic.Book{}, checksFence: checksFence}
+		c := &cluster{g: NewWithT(t), ctx: ctx, net: pipes.New(), memory: kvsim.NewMemoryStore(1), orderBook: &fake.ExecutionLog{}, checksFence: checksFence}
 		doc := `{"version":1,"routes":[],"services":[{"name":"llm","engine":{"slots":8,"weightsMb":220000,"adapterSlots":8,"loadsPerS":2,"models":[`
 		for i := range models {
 			if i > 0 {
@@ -116,7 +116,7 @@
 			}
 			doc += fmt.Sprintf(`{"name":"m%d","weightsMb":%f,"loadS":0.8,"diskS":0.8,"warmS":0.8,"adapters":20,"adapterMb":%f}`, i, modelSizeMB, adapterSizeMB)
 		}
-		_, err := c.memory.Commit(ctx, store.Txn{Puts: []store.Put{{Key: platform.ConfigKey, Value: []byte(doc + `]}}],"limits":{}}`)}}})
+		_, err := c.memory.Commit(ctx, store.Txn{Puts: []store.Put{{Key: platform.DocumentKey, Value: []byte(doc + `]}}],"limits":{}}`)}}})
 		c.g.Expect(err).NotTo(HaveOccurred())
 		for i := range servers {
 			c.addServer(i, 1, fmt.Sprintf("m%d", i%models))
@@ -141,12 +141,12 @@
 		sizes[fmt.Sprintf("m%d", n)] = modelSizeMB
 	}
 	address := fmt.Sprintf("10.0.0.%d:80", i+1)
-	var s *mimic.Server
+	var s *fake.Server
 	announce := func() {
 		// Servers write their own announcements, so these bypass the fronts' partitions.
 		_, _ = c.memory.Commit(c.ctx, store.Txn{Puts: []store.Put{{Key: s.Key(), Value: s.Announcement()}}})
 	}
-	s = mimic.NewServer(mimic.Spec{
+	s = fake.NewServer(fake.Spec{
 		ID: fmt.Sprintf("i-%d", i), Born: born, Service: "llm", Address: address, Zone: "a", Slots: 8, Sizes: sizes, WeightsMb: 220000,
 		AdapterSlots: 8, LoadTime: loadTime, AdapterTime: 8 * time.Millisecond, EventTime: 20 * time.Millisecond, ChecksFence: c.checksFence, AdapterSizeMb: adapterSizeMB,
 	}, c.orderBook, announce, models...)
@@ -166,8 +166,8 @@
 	unreachable.SetFaults(kvsim.Faults{Away: true})
 	p := &testFront{store: &partitionableStore{MemoryStore: c.memory, unreachable: unreachable}, cancel: cancel}
 	name, log := fmt.Sprintf("front-%d", i), zap.NewNop().Sugar()
-	layout := follow.Layout{DocumentKey: platform.ConfigKey, InstancePrefix: platform.ServerPrefix, Prefixes: []string{platform.OperatorPrefix, platform.ServerPrefix, follow.OwnPrefix}}
-	p.follower = follow.New(name, p.store, platform.Dialect{}, layout, follow.Times{Returning: 2 * time.Second, Gather: 600 * time.Millisecond}, log)
+	layout := follow.Layout{DocumentKey: platform.DocumentKey, InstancePrefix: platform.ServerPrefix, Prefixes: []string{platform.OperatorPrefix, platform.ServerPrefix, follow.SystemPrefix}}
+	p.follower = follow.New(name, p.store, platform.Dialect{}, layout, follow.Delays{ReturnGrace: 2 * time.Second, BatchDelay: 600 * time.Millisecond}, log)
 	p.candidate = NewCandidate(CandidateOptions{
 		Name: name, Address: name + ":1", MinLeaseTTL: time.Second,
 		SinceBoot: func() time.Duration { return time.Since(began) + time.Duration(p.suspendedNanos.Load()) },
@@ -221,7 +221,7 @@
 		}
 		group.Wait()
 		c.g.Expect(time.Since(began)).To(BeNumerically("<", loadTime+300*time.Millisecond))
-		c.g.Expect(c.orderBook.Broken()).To(BeEmpty())
+		c.g.Expect(c.orderBook.Breaches()).To(BeEmpty())
 	})
 }
 
@@ -233,7 +233,7 @@
 			c.g.Expect(err).NotTo(HaveOccurred())
 			c.g.Expect(found.Instances).To(HaveLen(1), "adapter %d", i+1)
 		}
-		c.g.Expect(c.orderBook.Broken()).To(BeEmpty())
+		c.g.Expect(c.orderBook.Breaches()).To(BeEmpty())
 	})
 }
 
@@ -313,7 +313,7 @@
 			}
 		}
 		group.Wait()
-		last := map[string]mimic.Ordered{}
+		last := map[string]fake.AcceptedOrder{}
 		handovers := 0
 		for _, o := range c.orderBook.Orders() {
 			if before, ok := last[o.Server]; ok && before.Holder != o.Holder {
@@ -388,7 +388,7 @@
 	for range 60 {
 		switch model := fmt.Sprintf("m%d", rnd.IntN(14)); rnd.IntN(10) {
 		case 0:
-			c.servers[rnd.IntN(len(c.servers))].SetFaults(mimic.Faults{LateOrders: 1 + rnd.IntN(2), LateBy: time.Duration(rnd.IntN(6000)) * time.Millisecond})
+			c.servers[rnd.IntN(len(c.servers))].SetFaults(fake.Faults{LateOrders: 1 + rnd.IntN(2), LateBy: time.Duration(rnd.IntN(6000)) * time.Millisecond})
 		case 1:
 			i := rnd.IntN(len(c.servers))
 			c.stops[i]()
@@ -412,7 +412,7 @@
 	}
 	group.Wait()
 	time.Sleep(15 * time.Second)
-	c.g.Expect(c.orderBook.Broken()).To(BeEmpty())
+	c.g.Expect(c.orderBook.Breaches()).To(BeEmpty())
 	fences := map[string]int64{}
 	holders := map[int64]string{}
 	for _, o := range c.orderBook.Orders() {
--- a/internal/node/front/deployment_test.go
+++ b/internal/node/front/deployment_test.go
@@ -111,7 +111,7 @@
 
 // checkFronts starts a front per settings file and checks what TestDrawnDeployments states.
 func (d deployment) checkFronts(r *harness, files [][]byte) {
-	r.writeKey(platform.ConfigKey, d.document(1))
+	r.writeKey(platform.DocumentKey, d.document(1))
 	first, _ := r.startServer("i-1", d.service), r.startServer("i-22", d.service)
 	var fronts []*Front
 	for _, file := range files {
@@ -129,9 +129,9 @@
 	}
 	expectStatus(d.prefix+"v1/x", "old", http.StatusOK)
 	if d.serverLeaves {
-		first.Leave()
+		first.Drain()
 	}
-	r.writeKey(platform.ConfigKey, d.document(2))
+	r.writeKey(platform.DocumentKey, d.document(2))
 	time.Sleep(max(d.inForce, d.drain))
 	expectStatus(d.prefix+"v2/x", "new", http.StatusOK)
 	expectStatus(d.prefix+"v1/x", "gone", http.StatusNotFound)
--- a/internal/node/front/front.go
+++ b/internal/node/front/front.go
@@ -81,8 +81,8 @@
 func New(o Options) (*Front, func()) {
 	log := o.Log.Sugar()
 	settings := o.Settings
-	follower := follow.New(settings.Node.Name, o.Store, o.Dialect, o.StoreLayout, follow.Times{
-		Returning: settings.Bounds.Returning, Gather: min(settings.Bounds.InForce, settings.Bounds.Drain) * gatherTenths / 10,
+	follower := follow.New(settings.Node.Name, o.Store, o.Dialect, o.StoreLayout, follow.Delays{
+		ReturnGrace: settings.Bounds.Returning, BatchDelay: min(settings.Bounds.InForce, settings.Bounds.Drain) * gatherTenths / 10,
 	}, log.Named("Follow"))
 	pool, closePool := conns.New(o.DialInstance, o.Metrics)
 	election := sched.NewCandidate(sched.CandidateOptions{
@@ -133,8 +133,8 @@
 	t.Critical("Callers", func(context.Context) error { return f.callerServer.serve(l.Callers) })
 	t.KeepRunning("Follow", f.follower.Run)
 	t.KeepRunning("Reread", f.follower.RunReread)
-	t.KeepRunning("Peers", f.follower.RunPeers)
-	t.KeepRunning("Missing", f.follower.RunMissing)
+	t.KeepRunning("Peers", f.follower.RunPeerPoll)
+	t.KeepRunning("Missing", f.follower.RunMissingCheck)
 	t.KeepRunning("Lead", f.election.Run)
 	t.KeepRunning("Planner", f.planner.Run)
 	t.KeepRunning("Reports", f.planner.RunReports)
@@ -160,9 +160,9 @@
 		if planner == nil {
 			continue
 		}
-		isNewPlanner := planner.Fence != reportedFence
+		isNewPlanner := planner.FencingToken != reportedFence
 		usage := f.relay.TakeUsage(isNewPlanner)
-		reportedFence = planner.Fence
+		reportedFence = planner.FencingToken
 		if !isNewPlanner && len(usage.Uses) == 0 && len(usage.Asked) == 0 && len(usage.Pauses) == 0 {
 			continue
 		}
--- a/internal/plat/follow/follower.go
+++ b/internal/plat/follow/follower.go
@@ -39,7 +39,7 @@
 	store   store.Store
 	decoder Decoder
 	layout  Layout
-	times   Times
+	times   Delays
 	self    string
 	peers   Peers
 	log     *zap.SugaredLogger
@@ -55,16 +55,16 @@
 	missing map[string]bool
 }
 
-// Times holds the delays that a deployment configures.
-type Times struct {
-	// Returning is how long after an outage of the store a lapsed instance may announce itself again.
-	Returning time.Duration
-	// Gather is the pause after a batch of changes, so that the next call returns more of them.
-	Gather time.Duration
+// Delays holds the delays that a deployment configures.
+type Delays struct {
+	// ReturnGrace is how long after an outage of the store a lapsed instance may announce itself again.
+	ReturnGrace time.Duration
+	// BatchDelay is the pause after a batch of changes, so that the next call returns more of them.
+	BatchDelay time.Duration
 }
 
 // New returns a follower with an empty state.
-func New(self string, s store.Store, d Decoder, l Layout, t Times, log *zap.SugaredLogger) *Follower {
+func New(self string, s store.Store, d Decoder, l Layout, t Delays, log *zap.SugaredLogger) *Follower {
 	f := &Follower{self: self, store: s, decoder: d, layout: l, times: t, log: log, missing: map[string]bool{}}
 	f.state.Store(&State{Keys: map[string]store.KV{}, Instances: map[string]site.Instance{}, Fronts: map[string]Front{}, replaced: make(chan struct{})})
 	return f
@@ -80,8 +80,8 @@
 	return f.state.Load()
 }
 
-// Away reports whether the store is unavailable or recovered less than span ago.
-func (f *Follower) Away(span time.Duration) bool {
+// Unavailable reports whether the store is unavailable or recovered less than span ago.
+func (f *Follower) Unavailable(span time.Duration) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return !f.outageSince.IsZero() || time.Since(f.recoveredAt) < span && !f.recoveredAt.IsZero()
@@ -152,7 +152,7 @@
 // probeStore reports whether the store is available. During an outage it reads
 // one key, because a watch would show the recovery only with the next change.
 func (f *Follower) probeStore(ctx context.Context) bool {
-	if !f.Away(0) {
+	if !f.Unavailable(0) {
 		return true
 	}
 	if _, _, err := f.store.Get(ctx, f.layout.DocumentKey); err != nil {
@@ -170,7 +170,7 @@
 	if s := f.State(); s.Planner != nil && s.Planner.Name == f.self {
 		return plannerBatchDelay
 	}
-	return f.times.Gather
+	return f.times.BatchDelay
 }
 
 // RunReread reads the document linearizably every rereadInterval, in case the watch drops changes.
@@ -190,10 +190,10 @@
 	}
 }
 
-// RunPeers polls other fronts for newer views while the store is unavailable or no document is known.
-func (f *Follower) RunPeers(ctx context.Context) {
+// RunPeerPoll polls other fronts for newer views while the store is unavailable or no document is known.
+func (f *Follower) RunPeerPoll(ctx context.Context) {
 	for sleep.For(ctx, peerPollInterval) {
-		if f.peers == nil || !f.Away(0) && f.State().Document != nil {
+		if f.peers == nil || !f.Unavailable(0) && f.State().Document != nil {
 			continue
 		}
 		if list, ok := f.peers.FetchNewer(ctx, f.State().Revision); ok {
@@ -203,10 +203,10 @@
 	}
 }
 
-// RunMissing removes instances that did not announce themselves again after an outage.
-func (f *Follower) RunMissing(ctx context.Context) {
+// RunMissingCheck removes instances that did not announce themselves again after an outage.
+func (f *Follower) RunMissingCheck(ctx context.Context) {
 	for sleep.For(ctx, missingCheckInterval) {
-		if f.Away(f.times.Returning) {
+		if f.Unavailable(f.times.ReturnGrace) {
 			continue
 		}
 		f.update(func(old *State) *State {
@@ -310,7 +310,7 @@
 			}
 			continue
 		}
-		if in.Draining || !f.Away(f.times.Returning) {
+		if in.Draining || !f.Unavailable(f.times.ReturnGrace) {
 			continue
 		}
 		keys[key] = old.Keys[key]
--- a/internal/plat/follow/follower_test.go
+++ b/internal/plat/follow/follower_test.go
@@ -75,11 +75,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		w := &followerTest{g: NewWithT(t), MemoryStore: kvsim.NewMemoryStore(1), ctx: ctx}
-		layout := Layout{DocumentKey: "op/doc", InstancePrefix: "srv/", Prefixes: []string{"op/", "srv/", OwnPrefix}}
-		w.follower = New("me", windowedStore{w.MemoryStore}, plainDecoder{}, layout, Times{Returning: testReturnGrace, Gather: testBatchDelay}, zap.NewNop().Sugar())
+		layout := Layout{DocumentKey: "op/doc", InstancePrefix: "srv/", Prefixes: []string{"op/", "srv/", SystemPrefix}}
+		w.follower = New("me", windowedStore{w.MemoryStore}, plainDecoder{}, layout, Delays{ReturnGrace: testReturnGrace, BatchDelay: testBatchDelay}, zap.NewNop().Sugar())
 		w.follower.SetPeers(peers)
 		var group conc.WaitGroup
-		for _, run := range []func(context.Context){w.follower.Run, w.follower.RunReread, w.follower.RunPeers, w.follower.RunMissing} {
+		for _, run := range []func(context.Context){w.follower.Run, w.follower.RunReread, w.follower.RunPeerPoll, w.follower.RunMissingCheck} {
 			group.Go(func() { run(ctx) })
 		}
 		defer func() {
--- a/internal/plat/follow/state.go
+++ b/internal/plat/follow/state.go
@@ -12,12 +12,12 @@
 
 // Keys in the store that foxtailcroft itself writes.
 const (
-	// OwnPrefix is the common prefix of these keys.
-	OwnPrefix = "foxtailcroft/"
+	// SystemPrefix is the common prefix of these keys.
+	SystemPrefix = "foxtailcroft/"
 	// FrontPrefix is the prefix of the fronts' registrations, which expire with their leases.
-	FrontPrefix = OwnPrefix + "fronts/"
+	FrontPrefix = SystemPrefix + "fronts/"
 	// PlannerKey holds the front with the planner role; the key's revision is the fencing token.
-	PlannerKey = OwnPrefix + "planner"
+	PlannerKey = SystemPrefix + "planner"
 )
 
 // Front is a registered front process of the site.
@@ -31,7 +31,7 @@
 // Planner is the front with the planner role, and its fencing token.
 type Planner struct {
 	Front
-	Fence int64
+	FencingToken int64
 }
 
 // State is an immutable view of the site at one store revision.
@@ -94,7 +94,7 @@
 	if kv, ok := keys[PlannerKey]; ok {
 		var front Front
 		if err := json.Unmarshal(kv.Value, &front); err == nil {
-			s.Planner = &Planner{Front: front, Fence: kv.Revision}
+			s.Planner = &Planner{Front: front, FencingToken: kv.Revision}
 		}
 	}
 	return s
--- a/internal/plat/store/client.go
+++ b/internal/plat/store/client.go
@@ -145,7 +145,7 @@
 			continue
 		}
 		for _, kv := range r.Range.KVs {
-			res.Found = append(res.Found, kv.toKV())
+			res.Current = append(res.Current, kv.toKV())
 		}
 	}
 	return res, nil
--- a/internal/standin/engsim/generate.go
+++ b/internal/standin/engsim/generate.go
@@ -62,13 +62,13 @@
 		select {
 		case <-time.After(delay):
 		case <-ctx.Done():
-			return "", &engine.Broken{Tokens: n, Err: ctx.Err()}
+			return "", &engine.BrokenStream{Tokens: n, Err: ctx.Err()}
 		}
 		if err := m.waitWhile(ctx, func(f Faults) bool { return f.HangTokens }); err != nil {
 			return "", err
 		}
 		if m.shouldBreak(n - r.SkipTokens) {
-			return "", &engine.Broken{Tokens: n, Err: errors.New("generation broken off by fault switch BreakAfter")}
+			return "", &engine.BrokenStream{Tokens: n, Err: errors.New("generation broken off by fault switch BreakAfter")}
 		}
 		if err := fn(engine.Token{Index: n, Text: Token(p.Messages, n)}); err != nil {
 			return "", err
--- a/internal/standin/engsim/motor.go
+++ b/internal/standin/engsim/motor.go
@@ -136,7 +136,7 @@
 	if err := ctx.Err(); err != nil {
 		return &fault.Unavailable{Service: "engine", Err: err}
 	}
-	if err := o.Allowed(ctx); err != nil {
+	if err := o.Authorized(ctx); err != nil {
 		return err
 	}
 	if err := m.waitWhile(ctx, func(f Faults) bool { return f.HangOrders }); err != nil {
@@ -167,7 +167,7 @@
 	free := m.settings.MemoryBytes - m.usedBytes()
 	if o.Bytes > free {
 		m.overcommits++
-		return nil, &engine.NoMemory{Item: o.Item, Free: free}
+		return nil, &engine.OutOfMemory{Item: o.Item, Free: free}
 	}
 	s := &itemState{bytes: o.Bytes, loading: true, settled: make(chan struct{})}
 	m.items[o.Item] = s
@@ -215,7 +215,7 @@
 	if err := ctx.Err(); err != nil {
 		return &fault.Unavailable{Service: "engine", Err: err}
 	}
-	if err := o.Allowed(ctx); err != nil {
+	if err := o.Authorized(ctx); err != nil {
 		return err
 	}
 	if err := m.waitWhile(ctx, func(f Faults) bool { return f.HangOrders }); err != nil {
@@ -288,7 +288,7 @@
 		m.reportedAt = time.Now()
 		m.reported = engine.Report{MemoryBytes: m.settings.MemoryBytes, Running: m.running, Cached: maps.Clone(m.cachedAt)}
 		for i, s := range m.items {
-			m.reported.Held = append(m.reported.Held, engine.Held{Item: i, Bytes: s.bytes, Loading: s.loading})
+			m.reported.Items = append(m.reported.Items, engine.LoadedItem{Item: i, Bytes: s.bytes, Loading: s.loading})
 		}
 	}
 	out := m.reported
--- a/internal/standin/engsim/server.go
+++ b/internal/standin/engsim/server.go
@@ -60,7 +60,7 @@
 		defer cancel()
 		err := order(ctx, engine.Order{Item: engine.Item{Model: b.Model, Adapter: b.Adapter, Version: b.Version}, Bytes: b.MemoryBytes, Fence: b.Fence})
 		var fenced *engine.Fenced
-		var full *engine.NoMemory
+		var full *engine.OutOfMemory
 		switch {
 		case err == nil:
 			reply(w, http.StatusOK, struct{}{})
@@ -95,7 +95,7 @@
 		Cached      map[string]string `json:"cached"`
 		Items       []item            `json:"items"`
 	}{report.MemoryBytes, report.Running, report.Cached, nil}
-	for _, h := range report.Held {
+	for _, h := range report.Items {
 		state := "loaded"
 		if h.Loading {
 			state = "loading"
--- a/internal/standin/kvsim/memory.go
+++ b/internal/standin/kvsim/memory.go
@@ -195,7 +195,7 @@
 		comparesHold = comparesHold && kv.Revision == c.Revision
 	}
 	if !comparesHold {
-		return store.Result{Revision: m.revision, Found: found}
+		return store.Result{Revision: m.revision, Current: found}
 	}
 	if len(t.Puts)+len(t.Deletes) > 0 {
 		m.revision++
--- a/internal/standin/kvsim/server.go
+++ b/internal/standin/kvsim/server.go
@@ -172,7 +172,7 @@
 		Succeeded bool       `json:"succeeded"`
 		Responses []response `json:"responses,omitempty"`
 	}{Header: jsonHeader{res.Revision}, Succeeded: res.Succeeded}
-	for _, kv := range res.Found {
+	for _, kv := range res.Current {
 		out.Responses = append(out.Responses, response{toJSONList(store.List{KVs: []store.KV{kv}})})
 	}
 	answer(w, out, err)
--- a/internal/standin/svcsim/shop.go
+++ b/internal/standin/svcsim/shop.go
@@ -104,10 +104,10 @@
 	select {
 	case <-answerDue:
 	case <-ctx.Done():
-		return plain.Answer{}, &plain.Lost{Err: ctx.Err()}
+		return plain.Answer{}, &plain.LostResponse{Err: ctx.Err()}
 	}
 	if loseAnswer {
-		return plain.Answer{}, &plain.Lost{Err: errors.New("fault switch LoseAnswers is set")}
+		return plain.Answer{}, &plain.LostResponse{Err: errors.New("fault switch LoseAnswers is set")}
 	}
 	return result, nil
 }
--- a/test/contract/back_test.go
+++ b/test/contract/back_test.go
@@ -55,7 +55,7 @@
 
 			It("refuses a load that does not fit", func() {
 				Expect(load(base, 60, 1)).To(Succeed())
-				var full *engine.NoMemory
+				var full *engine.OutOfMemory
 				Expect(errors.As(load(engine.Item{Model: "n", Version: "1"}, 60, 1), &full)).To(BeTrue())
 			})
 
@@ -68,7 +68,7 @@
 
 			It("asks before each message of an order whether it may be sent", func() {
 				refused := &engine.Fenced{Given: 1, Current: 2}
-				err := e.Load(ctx, engine.Order{Item: base, Bytes: 1, Fence: 1, Check: func(context.Context) error { return refused }})
+				err := e.Load(ctx, engine.Order{Item: base, Bytes: 1, Fence: 1, Authorize: func(context.Context) error { return refused }})
 				Expect(err).To(MatchError(refused))
 				Expect(m.LoadedItems()).To(BeEmpty())
 			})
@@ -85,7 +85,7 @@
 				report, err := e.Report(ctx)
 				Expect(err).NotTo(HaveOccurred())
 				Expect(report.MemoryBytes).To(Equal(int64(100)))
-				Expect(report.Held).To(ConsistOf(engine.Held{Item: base, Bytes: 60}))
+				Expect(report.Items).To(ConsistOf(engine.LoadedItem{Item: base, Bytes: 60}))
 			})
 
 			It("streams a whole answer with its finish reason", func() {
@@ -110,7 +110,7 @@
 				text, next := "", 0
 				take := func(t engine.Token) error { text += t.Text; next = t.Index + 1; return nil }
 				_, err := e.Generate(ctx, engine.Request{Item: base, Body: chat("8")}, take)
-				var broken *engine.Broken
+				var broken *engine.BrokenStream
 				Expect(errors.As(err, &broken)).To(BeTrue())
 				Expect(broken.Tokens).To(Equal(3))
 				_, err = e.Generate(ctx, engine.Request{Item: base, Body: chat("8"), SkipTokens: next, Prefix: text}, take)
@@ -166,7 +166,7 @@
 			It("reports a lost answer as a call that may have run", func() {
 				s.SetFaults(svcsim.Faults{LoseAnswers: 1})
 				_, err := call(5 * time.Second)
-				var lost *plain.Lost
+				var lost *plain.LostResponse
 				Expect(errors.As(err, &lost)).To(BeTrue())
 				Expect(book.Runs("one")).To(Equal(1))
 			})
@@ -174,7 +174,7 @@
 			It("reports a hanging call as one that may have run, at its deadline", func() {
 				s.SetFaults(svcsim.Faults{Hang: true})
 				_, err := call(100 * time.Millisecond)
-				var lost *plain.Lost
+				var lost *plain.LostResponse
 				Expect(errors.As(err, &lost)).To(BeTrue())
 			})
 		})
--- a/test/contract/contract_test.go
+++ b/test/contract/contract_test.go
@@ -20,7 +20,7 @@
 	"foxtailcroft/internal/standin/kvsim"
 	"foxtailcroft/internal/standin/svcsim"
 	"foxtailcroft/platform"
-	"foxtailcroft/platform/mimic"
+	"foxtailcroft/platform/fake"
 )
 
 func TestContracts(t *testing.T) {
@@ -50,7 +50,7 @@
 		},
 		"platform client": func() (store.Store, *kvsim.MemoryStore) {
 			m := kvsim.NewMemoryStore(1)
-			address := strings.TrimPrefix(serve(mimic.NewStore(m)), "http://")
+			address := strings.TrimPrefix(serve(fake.NewStore(m)), "http://")
 			return platform.NewStore(address, &http.Transport{}, time.Second, metrics.NewSet()), m
 		},
 	}
--- a/test/contract/store_test.go
+++ b/test/contract/store_test.go
@@ -51,8 +51,8 @@
 				first := put("k", "1", 0)
 				second := put("k", "2", 0)
 				Expect(second.Succeeded).To(BeFalse())
-				Expect(second.Found).To(HaveLen(1))
-				Expect(second.Found[0].Revision).To(Equal(first.Revision))
+				Expect(second.Current).To(HaveLen(1))
+				Expect(second.Current[0].Revision).To(Equal(first.Revision))
 				Expect(put("k", "2", first.Revision).Succeeded).To(BeTrue())
 			})
 
@@ -138,7 +138,7 @@
 
 			It("settles a write whose answer is lost", func() {
 				m.SetFaults(kvsim.Faults{LoseAnswers: 0.8})
-				res, err := store.Settle(ctx, s, store.Txn{If: []store.Compare{{Key: "k"}}, Puts: []store.Put{{Key: "k", Value: []byte("1")}, {Key: "witness"}}}, "witness")
+				res, err := store.CommitOnce(ctx, s, store.Txn{If: []store.Compare{{Key: "k"}}, Puts: []store.Put{{Key: "k", Value: []byte("1")}, {Key: "witness"}}}, "witness")
 				Expect(err).NotTo(HaveOccurred())
 				Expect(res.Succeeded).To(BeTrue())
 				m.SetFaults(kvsim.Faults{})
--- a/test/proofs/silent_test.go
+++ b/test/proofs/silent_test.go
@@ -66,7 +66,7 @@
 				return nil
 			}
 			_, err := e.Generate(ctx, engine.Request{Item: item, Body: body}, take)
-			var broken *engine.Broken
+			var broken *engine.BrokenStream
 			g.Expect(errors.As(err, &broken)).To(BeTrue())
 			_, err = e.Generate(ctx, engine.Request{Item: item, Body: body, SkipTokens: next, Prefix: text}, take)
 			g.Expect(err).NotTo(HaveOccurred())
@@ -87,7 +87,7 @@
 			g.Expect(err).NotTo(HaveOccurred())
 			f.silence("standin", "")
 			began := time.Now()
-			res, err := store.Settle(ctx, c, store.Txn{Puts: []store.Put{{Key: "k", Value: []byte("1")}, {Key: "w"}}}, "w")
+			res, err := store.CommitOnce(ctx, c, store.Txn{Puts: []store.Put{{Key: "k", Value: []byte("1")}, {Key: "w"}}}, "w")
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(res.Succeeded).To(BeTrue())
 			g.Expect(time.Since(began)).To(BeNumerically("<", 3*time.Second))
@@ -120,7 +120,7 @@
 			defer cancel()
 			time.AfterFunc(200*time.Millisecond, func() { f.silence("standin", "") })
 			_, err = c.Do(ctx, plain.Call{Method: http.MethodPost, Path: "/", Body: []byte("one")})
-			var lost *plain.Lost
+			var lost *plain.LostResponse
 			g.Expect(errors.As(err, &lost)).To(BeTrue())
 			g.Expect(book.Runs("one")).To(Equal(1))
 		})
--- a/test/soak/client_test.go
+++ b/test/soak/client_test.go
@@ -13,7 +13,7 @@
 	"sync/atomic"
 	"time"
 
-	"foxtailcroft/platform/mimic"
+	"foxtailcroft/platform/fake"
 )
 
 // clients send requests and check every end of one against what the servers ran.
@@ -133,7 +133,7 @@
 	if kind == "resume" || kind == "stream" {
 		want = ""
 		for n := range events {
-			want += mimic.Event(n + 1)
+			want += fake.Event(n + 1)
 		}
 	}
 	switch {
@@ -156,7 +156,7 @@
 func (c *clients) check() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	out := append(append([]string{}, c.broken...), c.d.book.Broken()...)
+	out := append(append([]string{}, c.broken...), c.d.book.Breaches()...)
 	for _, id := range c.once {
 		if runs := c.d.book.Runs(id); len(runs) > 1 {
 			out = append(out, fmt.Sprintf("%s ran %d times: %+v", id, len(runs), runs))
--- a/test/soak/site_test.go
+++ b/test/soak/site_test.go
@@ -20,7 +20,7 @@
 
 	"foxtailcroft/internal/plat/store"
 	"foxtailcroft/internal/standin/kvsim"
-	"foxtailcroft/platform/mimic"
+	"foxtailcroft/platform/fake"
 )
 
 const (
@@ -33,7 +33,7 @@
 
 // served is a stand-in server with the proxy before it.
 type served struct {
-	server *mimic.Server
+	server *fake.Server
 	http   *http.Server
 	proxy  *proxy
 	id     string
@@ -62,8 +62,8 @@
 	dir     string
 	binary  string
 	memory  *kvsim.MemoryStore
-	store   *mimic.Store
-	book    *mimic.Book
+	store   *fake.Store
+	book    *fake.ExecutionLog
 	mu      sync.Mutex
 	servers []*served
 	fronts  []*front
@@ -73,8 +73,8 @@
 }
 
 func open(ctx context.Context, t *testing.T, binary, dir string, fronts int) *deployment {
-	d := &deployment{t: t, ctx: ctx, dir: dir, binary: binary, memory: kvsim.NewMemoryStore(1), book: &mimic.Book{}}
-	d.store = mimic.NewStore(d.memory)
+	d := &deployment{t: t, ctx: ctx, dir: dir, binary: binary, memory: kvsim.NewMemoryStore(1), book: &fake.ExecutionLog{}}
+	d.store = fake.NewStore(d.memory)
 	address := d.serve(d.store)
 	d.configure()
 	for i := range llmServers {
@@ -160,7 +160,7 @@
 		service = "llm"
 	}
 	s := &served{id: id, llm: llm, proxy: p, born: time.Now().UnixMilli()}
-	s.server = mimic.NewServer(mimic.Spec{
+	s.server = fake.NewServer(fake.Spec{
 		ID: id, Born: s.born, Service: service, Address: p.address(), Zone: "a", Slots: 16, Sizes: sizes, WeightsMb: 220000, AdapterSlots: 8,
 		LoadTime: 300 * time.Millisecond, AdapterTime: 8 * time.Millisecond, EventTime: 15 * time.Millisecond, ChecksFence: true, AdapterSizeMb: 60,
 	}, d.book, func() { d.announce(s) }, held...)
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -21,7 +21,7 @@
 
 	"github.com/sourcegraph/conc"
 
-	"foxtailcroft/platform/mimic"
+	"foxtailcroft/platform/fake"
 )
 
 var (
@@ -154,7 +154,7 @@
 		{"server crashes", h.crash},
 		{"server leaves", h.leave},
 		{"late orders", func() {
-			h.server().server.SetFaults(mimic.Faults{LateOrders: 2, LateBy: time.Duration(h.rnd.IntN(2000)) * time.Millisecond})
+			h.server().server.SetFaults(fake.Faults{LateOrders: 2, LateBy: time.Duration(h.rnd.IntN(2000)) * time.Millisecond})
 		}},
 	}
 	k := kinds[h.rnd.IntN(len(kinds))]
@@ -213,17 +213,17 @@
 }
 
 func (h *harm) reject() {
-	h.d.store.Reject([]int{503, 429}[h.rnd.IntN(2)])
+	h.d.store.SetRejectStatus([]int{503, 429}[h.rnd.IntN(2)])
 	span := h.span()
 	h.group.Go(func() {
 		time.Sleep(span)
-		h.d.store.Reject(0)
+		h.d.store.SetRejectStatus(0)
 	})
 }
 
 func (h *harm) spoil() {
-	h.server().server.SetFaults([]mimic.Faults{
-		{Lose: 5}, {Cut: 5, CutAfter: h.rnd.IntN(4)}, {Extra: true}, {Unframed: true}, {Unsigned: true}, {Shed: 20}, {Fail: 8}, {Encoded: true},
+	h.server().server.SetFaults([]fake.Faults{
+		{LostResponses: 5}, {TruncatedResponses: 5, TruncateAfterEvent: h.rnd.IntN(4)}, {Extra: true}, {Unframed: true}, {Unsigned: true}, {RejectedAsFull: 20}, {FailedResponses: 8}, {Encoded: true},
 	}[h.rnd.IntN(8)])
 }
 
@@ -239,7 +239,7 @@
 	s := h.server()
 	h.born++
 	h.d.addServer(fmt.Sprintf("%s-n%d", s.id, h.born), s.llm)
-	s.server.Leave()
+	s.server.Drain()
 	h.group.Go(func() {
 		time.Sleep(1500 * time.Millisecond)
 		if slices.Contains(h.d.alive(), s) {
@@ -251,9 +251,9 @@
 // heal ends all faults.
 func (h *harm) heal() {
 	h.group.Wait()
-	h.d.store.Reject(0)
+	h.d.store.SetRejectStatus(0)
 	for _, s := range h.d.alive() {
-		s.server.SetFaults(mimic.Faults{})
+		s.server.SetFaults(fake.Faults{})
 		s.proxy.heal()
 	}
 	for _, f := range h.d.fronts {
