--- a/cmd/foxtailcroft/agent.go
+++ b/cmd/foxtailcroft/agent.go
@@ -35,7 +35,7 @@
 		return err
 	}
 	node := plan.Node{Name: settings.Node.Name, Role: plan.Agent, Region: settings.Node.Region, Domain: settings.Node.Domain, Back: plan.ServiceEndpoint}
-	var backs agent.Backs
+	var backs agent.BackEnds
 	if settings.Engine != nil {
 		node.Back, node.MemoryBytes = plan.EngineEndpoint, settings.Engine.MemoryBytes
 		backs.Engine = engine.NewClient(settings.Engine.URL, transport())
--- a/cmd/foxtailcroft/delete.go
+++ b/cmd/foxtailcroft/delete.go
@@ -23,9 +23,9 @@
 			if err != nil {
 				return err
 			}
-			w := remote.Write{DryRun: dryRun}
+			w := remote.WriteOptions{DryRun: dryRun}
 			if cmd.Flags().Changed("revision") {
-				w.Revision = &revision
+				w.IfRevision = &revision
 			}
 			if err := flags.client().Delete(cmd.Context(), kind, args[1], w); err != nil {
 				return err
--- a/cmd/foxtailcroft/process.go
+++ b/cmd/foxtailcroft/process.go
@@ -33,9 +33,9 @@
 	node.Address = lis.Addr().String()
 	meters := metrics.NewSet()
 	return member.Options{
-		Self: node, Listener: lis, Dial: peer.TCP, Meters: meters, Log: log,
-		Store: store.NewClient(platform.Store, transport(), platform.CallsPerSecond, meters),
-		List:  fleet.NewClient(platform.List, transport()),
+		Self: node, Listener: lis, Dial: peer.DialTCP, Metrics: meters, Log: log,
+		Store:     store.NewClient(platform.Store, transport(), platform.CallsPerSecond, meters),
+		Instances: fleet.NewClient(platform.List, transport()),
 	}, nil
 }
 
--- a/internal/agent/runs/attempt.go
+++ b/internal/agent/runs/attempt.go
@@ -111,7 +111,7 @@
 
 // sendPiece sends one piece to the attached entry.
 func (a *Attempt) sendPiece(p wire.Piece) {
-	if a.conn != nil && a.conn.Stream(wire.StreamPiece, &p) != nil {
+	if a.conn != nil && a.conn.SendStream(wire.StreamKindPiece, &p) != nil {
 		a.conn = nil
 	}
 }
--- a/internal/agent/worker/plain.go
+++ b/internal/agent/worker/plain.go
@@ -57,7 +57,7 @@
 	wait := time.Since(startedAt)
 	head := &wire.PlainHead{Status: answer.Status, Header: answer.Header}
 	for data := answer.Body; ; {
-		n := min(len(data), wire.PartBytes)
+		n := min(len(data), wire.MaxPartBytes)
 		a.Emit(0, data[:n], head)
 		head, data = nil, data[n:]
 		if len(data) == 0 {
--- a/internal/agent/worker/work.go
+++ b/internal/agent/worker/work.go
@@ -18,8 +18,8 @@
 	"foxtailcroft/internal/core/fault"
 	"foxtailcroft/internal/core/plan"
 	"foxtailcroft/internal/core/view"
+	"foxtailcroft/internal/link/fanout"
 	"foxtailcroft/internal/link/peer"
-	"foxtailcroft/internal/link/spread"
 	"foxtailcroft/internal/link/wire"
 	"foxtailcroft/internal/plat/store"
 )
@@ -49,8 +49,8 @@
 
 // Register adds the handlers of the worker's messages to a mux.
 func (w *Worker) Register(mux *peer.Mux) {
-	peer.OnNote(mux, wire.MethodPart, func(_ *peer.Conn, p wire.Part) { w.Registry.AddPart(p) })
-	peer.OnNote(mux, wire.MethodAck, func(_ *peer.Conn, a wire.Ack) { w.Registry.Ack(a.Attempt) })
+	peer.OnNotification(mux, wire.MethodPart, func(_ *peer.Conn, p wire.Part) { w.Registry.AddPart(p) })
+	peer.OnNotification(mux, wire.MethodAck, func(_ *peer.Conn, a wire.Ack) { w.Registry.Ack(a.Attempt) })
 	peer.OnCall(mux, wire.MethodRun, w.handleRun)
 	peer.OnCall(mux, wire.MethodRevoke, func(_ context.Context, _ *peer.Conn, r wire.Revoke) (wire.RevokeReply, error) {
 		return wire.RevokeReply{NotRun: w.Registry.Revoke(r.Attempt) && r.Epoch == w.Incarnation}, nil
@@ -111,8 +111,8 @@
 func (w *Worker) catchUp(ctx context.Context, c *peer.Conn) {
 	ctx, cancel := context.WithTimeout(ctx, catchUpTimeout)
 	defer cancel()
-	if err := spread.Pull(ctx, c, w.Holder, spread.Pulled{}); err != nil {
-		w.Log.Info("pulling a newer configuration from the caller failed; continuing with the old one", zap.String("From", c.Remote().Node), zap.Error(err))
+	if err := fanout.Pull(ctx, c, w.Holder, fanout.PullOptions{}); err != nil {
+		w.Log.Info("pulling a newer configuration from the caller failed; continuing with the old one", zap.String("From", c.RemoteHello().Node), zap.Error(err))
 	}
 }
 
--- a/internal/entry/admin/status.go
+++ b/internal/entry/admin/status.go
@@ -12,8 +12,8 @@
 	"foxtailcroft/internal/core/kinds"
 	"foxtailcroft/internal/core/plan"
 	"foxtailcroft/internal/core/view"
+	"foxtailcroft/internal/link/fanout"
 	"foxtailcroft/internal/link/peer"
-	"foxtailcroft/internal/link/spread"
 	"foxtailcroft/internal/link/wire"
 )
 
@@ -102,14 +102,14 @@
 type Reporter struct {
 	holder *view.Holder
 	pool   *peer.Pool
-	relay  *spread.Relay
+	relay  *fanout.Relay
 	mu     sync.Mutex
 	// lastConditions holds, by resource key and condition type, the conditions last derived.
 	lastConditions map[string]Condition
 }
 
 // NewReporter returns a reporter on the resources and nodes in the holder's view.
-func NewReporter(holder *view.Holder, p *peer.Pool, relay *spread.Relay) *Reporter {
+func NewReporter(holder *view.Holder, p *peer.Pool, relay *fanout.Relay) *Reporter {
 	return &Reporter{holder: holder, pool: p, relay: relay, lastConditions: map[string]Condition{}}
 }
 
@@ -166,10 +166,10 @@
 			out[node] = max(out[node], rev)
 		}
 	}
-	merge(r.relay.Applied(ctx))
+	merge(r.relay.AppliedRevisions(ctx))
 	workers := pool.New().WithMaxGoroutines(maxConcurrentCalls)
 	for _, nodes := range domains {
-		for _, relay := range spread.Rank(nodes)[:min(spread.Parents, len(nodes))] {
+		for _, relay := range fanout.SortByRank(nodes)[:min(fanout.ParentCount, len(nodes))] {
 			workers.Go(func() { merge(r.appliedRevisions(ctx, relay)) })
 		}
 	}
--- a/internal/entry/placer/placer.go
+++ b/internal/entry/placer/placer.go
@@ -227,7 +227,7 @@
 	ctx, cancel := context.WithTimeout(ctx, agentCallTimeout)
 	defer cancel()
 	conn, err := p.Pool.Get(ctx, node.Address)
-	if err != nil || conn.Remote().Node != node.Name {
+	if err != nil || conn.RemoteHello().Node != node.Name {
 		return false
 	}
 	var reply wire.ReleaseReply
--- a/internal/front/peers/peers.go
+++ b/internal/front/peers/peers.go
@@ -195,7 +195,7 @@
 	if err != nil {
 		return err
 	}
-	defer conn.Begin()()
+	defer conn.BeginWork()()
 	return conn.Call(ctx, method, params, reply)
 }
 
--- a/internal/node/agent/agent.go
+++ b/internal/node/agent/agent.go
@@ -20,31 +20,31 @@
 	"foxtailcroft/internal/base/sleep"
 	"foxtailcroft/internal/base/tree"
 	"foxtailcroft/internal/core/fault"
+	"foxtailcroft/internal/link/fanout"
 	"foxtailcroft/internal/link/peer"
-	"foxtailcroft/internal/link/spread"
 	"foxtailcroft/internal/link/wire"
 	"foxtailcroft/internal/node/httpd"
 	"foxtailcroft/internal/node/member"
 )
 
-// Backs holds the back end of an agent. Exactly one field is set.
-type Backs struct {
+// BackEnds holds the back end of an agent. Exactly one field is set.
+type BackEnds struct {
 	Engine engine.Engine
 	Plain  plain.Service
 }
 
 // Agent is the agent process of one endpoint.
 type Agent struct {
-	Member   *member.Member
-	Web      *httpd.Server
-	Worker   *worker.Worker
-	Registry *runs.Registry
-	Slots    *slots.Manager
-	limiter  *limit.Limiter
-	guard    *fence.Guard
-	settings conf.Agent
-	log      *zap.Logger
-	deposed  chan struct{}
+	Member     *member.Member
+	HTTPServer *httpd.Server
+	Worker     *worker.Worker
+	Registry   *runs.Registry
+	Slots      *slots.Manager
+	limiter    *limit.Limiter
+	guard      *fence.Guard
+	settings   conf.Agent
+	log        *zap.Logger
+	deposed    chan struct{}
 }
 
 const (
@@ -56,10 +56,10 @@
 )
 
 // New returns an agent, to be started with Start, and the function that closes it.
-func New(settings conf.Agent, o member.Options, backEnds Backs) (*Agent, func()) {
+func New(settings conf.Agent, o member.Options, backEnds BackEnds) (*Agent, func()) {
 	m, closeMember := member.New(o)
 	a := &Agent{
-		Member: m, Web: httpd.New(o.Meters, 0), Registry: runs.NewRegistry(), settings: settings, log: o.Log,
+		Member: m, HTTPServer: httpd.NewServer(o.Metrics, 0), Registry: runs.NewRegistry(), settings: settings, log: o.Log,
 		guard: fence.New(o.Store, o.Self.Name), deposed: make(chan struct{}),
 	}
 	a.Worker = &worker.Worker{
@@ -102,9 +102,9 @@
 // endpoint and, if metrics is not nil, serves metrics on that listener.
 func (a *Agent) Start(t *tree.Supervisor, metrics net.Listener) {
 	a.Member.Start(t)
-	t.OnClose(a.Web.Close)
+	t.OnClose(a.HTTPServer.Close)
 	if metrics != nil {
-		t.Critical("MetricsServer", func(context.Context) error { return a.Web.Serve(metrics) })
+		t.Critical("MetricsServer", func(context.Context) error { return a.HTTPServer.Serve(metrics) })
 	}
 	t.KeepRunning("Guard", a.guard.Run)
 	t.KeepRunning("Attempts", a.Registry.Sweep)
@@ -152,15 +152,15 @@
 	if fromStore := a.bootstrap(ctx); !fromStore && a.Slots != nil {
 		a.retryEngineRead(ctx, a.Slots.ReadBack)
 	}
-	a.Web.SetReady(true)
-	epoch, err := a.Member.Join(ctx)
+	a.HTTPServer.SetReady(true)
+	epoch, err := a.Member.Register(ctx)
 	if err != nil {
 		return
 	}
 	a.guard.SetEpoch(epoch)
 	// Models may be loaded only under a plan read from the store after the epoch was taken.
 	for ctx.Err() == nil {
-		fresh, err := spread.Load(ctx, a.Member.Store, a.Member.Holder)
+		fresh, err := fanout.LoadFromStore(ctx, a.Member.Store, a.Member.Holder)
 		if err == nil && fresh {
 			break
 		}
@@ -240,9 +240,9 @@
 // limit, attempts that have not started are refused as not run, and running ones
 // fail.
 func (a *Agent) Drain(ctx context.Context) {
-	a.Web.SetReady(false)
+	a.HTTPServer.SetReady(false)
 	a.Worker.Drain()
-	a.Member.Announce(a.guard.Epoch())
+	a.Member.AnnounceLeaving(a.guard.Epoch())
 	ctx, cancel := context.WithTimeout(ctx, a.settings.Drain.Limit.Std())
 	defer cancel()
 	for a.Registry.AwaitedCount() > 0 && ctx.Err() == nil {
--- a/internal/node/entry/entry.go
+++ b/internal/node/entry/entry.go
@@ -25,34 +25,34 @@
 
 // Entry is an entry process.
 type Entry struct {
-	Member     *member.Member
-	Web        *httpd.Server
-	Dispatcher *calls.Dispatcher
-	Placer     *placer.Planner
-	Limit      *admit.Limit
-	settings   conf.Entry
-	log        *zap.Logger
+	Member        *member.Member
+	HTTPServer    *httpd.Server
+	Dispatcher    *calls.Dispatcher
+	Placer        *placer.Planner
+	InFlightLimit *admit.Limit
+	settings      conf.Entry
+	log           *zap.Logger
 }
 
 // New returns an entry, to be started with Start, and the function that closes it.
 func New(settings conf.Entry, o member.Options) (*Entry, func()) {
 	m, closeMember := member.New(o)
 	table := route.NewTable(o.Self.Domain, xxhash.Sum64String(o.Self.Name))
-	dispatcher, closeDispatcher := calls.New(m.Holder, m.Pool, m.Mux, table, o.Meters, o.Log.Named("Calls"))
+	dispatcher, closeDispatcher := calls.New(m.Holder, m.Pool, m.Mux, table, o.Metrics, o.Log.Named("Calls"))
 	grants.New(permit.Limits{ConcurrentModels: settings.WeightStore.LoadsAtOnce, ConcurrentAdapters: settings.WeightStore.AdaptersInFlight, ModelsPerSecond: settings.WeightStore.LoadsPerSecond}, m.Mux)
 	e := &Entry{
-		Member: m, Web: httpd.New(o.Meters, settings.Requests.MaxHeaderBytes), Dispatcher: dispatcher,
-		Limit: admit.New(settings.Requests.MaxInFlight), settings: settings, log: o.Log,
+		Member: m, HTTPServer: httpd.NewServer(o.Metrics, settings.Requests.MaxHeaderBytes), Dispatcher: dispatcher,
+		InFlightLimit: admit.New(settings.Requests.MaxInFlight), settings: settings, log: o.Log,
 		Placer: &placer.Planner{
-			NodeName: o.Self.Name, Holder: m.Holder, Store: o.Store, Ledger: m.Ledger, Instances: o.List,
+			NodeName: o.Self.Name, Holder: m.Holder, Store: o.Store, Ledger: m.Ledger, Instances: o.Instances,
 			Pool: m.Pool, Log: o.Log.Named("Planner"), GoneAfter: settings.GoneAfter.Std(),
 		},
 	}
 	caller.New(caller.Settings{
 		DefaultTimeout: settings.Requests.DefaultTimeout.Std(), MaxTimeout: settings.Requests.MaxTimeout.Std(), MaxBodyBytes: settings.Requests.MaxBodyBytes,
-	}, m.Holder, dispatcher, e.Limit, o.Meters, o.Log.Named("Caller")).Register(e.Web.Router)
+	}, m.Holder, dispatcher, e.InFlightLimit, o.Metrics, o.Log.Named("Caller")).Register(e.HTTPServer.Router)
 	reporter := admin.NewReporter(m.Holder, m.Pool, m.Relay)
-	admin.NewServer(m.Holder, admin.NewWriter(o.Store, m.Ledger, m.Holder), reporter, m.Ledger).Register(e.Web.Router)
+	admin.NewServer(m.Holder, admin.NewWriter(o.Store, m.Ledger, m.Holder), reporter, m.Ledger).Register(e.HTTPServer.Router)
 	return e, func() {
 		closeMember()
 		closeDispatcher()
@@ -63,9 +63,9 @@
 // if callers is not nil, serves callers on that listener.
 func (e *Entry) Start(t *tree.Supervisor, callers net.Listener) {
 	e.Member.Start(t)
-	t.OnClose(e.Web.Close)
+	t.OnClose(e.HTTPServer.Close)
 	if callers != nil {
-		t.Critical("CallerServer", func(context.Context) error { return e.Web.Serve(callers) })
+		t.Critical("CallerServer", func(context.Context) error { return e.HTTPServer.Serve(callers) })
 	}
 	t.KeepRunning("Join", func(ctx context.Context) {
 		e.join(ctx)
@@ -84,8 +84,8 @@
 		e.log.Warn("loading the first configuration failed; retrying", zap.Error(err))
 		sleep.For(ctx, bootstrapRetryDelay)
 	}
-	e.Web.SetReady(true)
-	if _, err := e.Member.Join(ctx); err != nil {
+	e.HTTPServer.SetReady(true)
+	if _, err := e.Member.Register(ctx); err != nil {
 		e.log.Warn("node registration failed; giving up", zap.Error(err))
 	}
 }
@@ -96,11 +96,11 @@
 // for the requests in flight up to the drain limit. The requests still in flight
 // then are refused; each refusal tells whether the request may have run.
 func (e *Entry) Drain(ctx context.Context) {
-	e.Web.SetReady(false)
+	e.HTTPServer.SetReady(false)
 	sleep.For(ctx, e.settings.Drain.Notice.Std())
 	ctx, cancel := context.WithTimeout(ctx, e.settings.Drain.Limit.Std())
 	defer cancel()
-	if err := e.Web.Shutdown(ctx, &calls.ShutdownError{}); err != nil {
+	if err := e.HTTPServer.Shutdown(ctx, &calls.ShutdownError{}); err != nil {
 		e.log.Warn("requests were cut off", zap.Error(err))
 	}
 }
--- a/internal/node/local/local.go
+++ b/internal/node/local/local.go
@@ -43,8 +43,8 @@
 	Seed             uint64
 }
 
-// Default returns the settings of the dev command.
-func Default() Settings {
+// DefaultSettings returns the settings of the dev command.
+func DefaultSettings() Settings {
 	return Settings{
 		Entries: 3, Engines: 6, Services: []string{"order-desk", "bookings"}, ServiceEndpoints: 2, Seed: 1,
 		Engine: engsim.Settings{
@@ -59,8 +59,8 @@
 	Platform *kvsim.Platform
 	Engines  []*engsim.Engine
 	RunLogs  map[string]*svcsim.RunLog
-	// Entries and PlatformURL are base URLs.
-	Entries     []string
+	// EntryURLs and PlatformURL are base URLs.
+	EntryURLs   []string
 	PlatformURL string
 	// Members holds the member of every entry and agent.
 	Members []*member.Member
@@ -149,8 +149,8 @@
 	d.instances = append(d.instances, fleet.Instance{Name: node.Name, Role: string(node.Role), Address: node.Address, Region: region, Domain: node.Domain})
 	meters := metrics.NewSet()
 	return member.Options{
-		Self: node, Listener: lis, Dial: peer.TCP, Meters: meters, Log: d.log.With(zap.String("Node", node.Name)),
-		Store: store.NewClient(d.PlatformURL, &http.Transport{}, storeCallsPerSecond, meters), List: fleet.NewClient(d.PlatformURL, &http.Transport{}),
+		Self: node, Listener: lis, Dial: peer.DialTCP, Metrics: meters, Log: d.log.With(zap.String("Node", node.Name)),
+		Store: store.NewClient(d.PlatformURL, &http.Transport{}, storeCallsPerSecond, meters), Instances: fleet.NewClient(d.PlatformURL, &http.Transport{}),
 	}, nil
 }
 
@@ -176,7 +176,7 @@
 		URL: url, MemoryBytes: d.settings.Engine.MemoryBytes, ChecksFence: d.settings.Engine.CheckFence,
 		ReportLag: kinds.Duration(d.settings.Engine.MaxReportAge), OrderTimeout: kinds.Duration(time.Minute),
 	}
-	d.runAgent(settings, o, agent.Backs{Engine: engine.NewClient(url, &http.Transport{MaxIdleConnsPerHost: maxIdleEngineConns})})
+	d.runAgent(settings, o, agent.BackEnds{Engine: engine.NewClient(url, &http.Transport{MaxIdleConnsPerHost: maxIdleEngineConns})})
 	return nil
 }
 
@@ -200,11 +200,11 @@
 	}
 	settings := conf.DefaultAgent()
 	settings.Service = &conf.Service{Name: name, URL: url}
-	d.runAgent(settings, o, agent.Backs{Plain: client})
+	d.runAgent(settings, o, agent.BackEnds{Plain: client})
 	return nil
 }
 
-func (d *Deployment) runAgent(settings conf.Agent, o member.Options, backEnds agent.Backs) {
+func (d *Deployment) runAgent(settings conf.Agent, o member.Options, backEnds agent.BackEnds) {
 	a, closeAgent := agent.New(settings, o, backEnds)
 	d.tree.OnClose(closeAgent)
 	d.Members = append(d.Members, a.Member)
@@ -224,6 +224,6 @@
 	d.tree.OnClose(closeEntry)
 	d.Members = append(d.Members, e.Member)
 	e.Start(d.tree, callers)
-	d.Entries = append(d.Entries, "http://"+callers.Addr().String())
+	d.EntryURLs = append(d.EntryURLs, "http://"+callers.Addr().String())
 	return nil
 }
--- a/test/proofs/config_test.go
+++ b/test/proofs/config_test.go
@@ -165,7 +165,7 @@
 func (r *rig) relay() string {
 	best := ""
 	for name, a := range r.allAgents() {
-		if a.Member.Relay != nil && a.Member.Relay.Busy() && (best == "" || name < best) {
+		if a.Member.Relay != nil && a.Member.Relay.HasFollowers() && (best == "" || name < best) {
 			best = name
 		}
 	}
--- a/test/proofs/rig_test.go
+++ b/test/proofs/rig_test.go
@@ -238,7 +238,7 @@
 	gate := &gatedStore{Store: r.platform.Store, cut: r.cutOff}
 	return member.Options{
 		Self: node, Listener: r.net.listen(node.Address), Dial: r.net.dialer(node.Address), Store: gate,
-		List: instances{r.platform}, Meters: metrics.NewSet(), Log: logger(r.t),
+		Instances: instances{r.platform}, Metrics: metrics.NewSet(), Log: logger(r.t),
 	}, gate
 }
 
@@ -320,7 +320,7 @@
 	set.Engine = &conf.Engine{
 		URL: "http://engine", MemoryBytes: s.MemoryBytes, ChecksFence: s.CheckFence, ReportLag: kinds.Duration(s.MaxReportAge), OrderTimeout: kinds.Duration(time.Minute),
 	}
-	return r.startAgent(name, set, o, gate, agent.Backs{Engine: m})
+	return r.startAgent(name, set, o, gate, agent.BackEnds{Engine: m})
 }
 
 func (r *rig) serviceAgent(name, domain, service string) *agentNode {
@@ -333,10 +333,10 @@
 	o, gate := r.options(plan.Node{Name: name, Role: plan.Agent, Domain: domain, Back: plan.ServiceEndpoint, Service: service})
 	set := conf.DefaultAgent()
 	set.Service = &conf.Service{Name: service, URL: "http://service"}
-	return r.startAgent(name, set, o, gate, agent.Backs{Plain: r.shops[name]})
+	return r.startAgent(name, set, o, gate, agent.BackEnds{Plain: r.shops[name]})
 }
 
-func (r *rig) startAgent(name string, set conf.Agent, o member.Options, gate *gatedStore, backs agent.Backs) *agentNode {
+func (r *rig) startAgent(name string, set conf.Agent, o member.Options, gate *gatedStore, backs agent.BackEnds) *agentNode {
 	a, closeAgent := agent.New(set, o, backs)
 	tr, closeTree := tree.New(context.Background(), o.Log)
 	tr.OnClose(closeAgent)
@@ -483,7 +483,7 @@
 		req.Header.Set(k, v)
 	}
 	w := httptest.NewRecorder()
-	e.Web.Router.ServeHTTP(w, req)
+	e.HTTPServer.Router.ServeHTTP(w, req)
 	return w
 }
 
--- a/test/scale/nodes_test.go
+++ b/test/scale/nodes_test.go
@@ -60,7 +60,7 @@
 	const rest = 12 * time.Second
 	for _, n := range []int{50, 100, 200, 400, 800} {
 		b.Run(fmt.Sprintf("nodes=%d", n), func(b *testing.B) {
-			set := local.Default()
+			set := local.DefaultSettings()
 			set.Entries, set.Engines, set.Services, set.ServiceEndpoints = 1, 0, []string{"desk"}, n
 			before := heap()
 			d, stop, err := local.Start(context.Background(), set, zap.NewNop())
@@ -69,7 +69,7 @@
 			}
 			defer stop()
 			settle(b, d)
-			client := remote.New(d.Entries[0], "scale")
+			client := remote.New(d.EntryURLs[0], "scale")
 			for b.Loop() {
 				atRest(b, d, rest)
 				change(b, d, client)
@@ -108,7 +108,7 @@
 	used, sent := processorTime(), bytesSent(d)
 	var slowest time.Duration
 	for i := range changes {
-		res, err := client.Put(context.Background(), kinds.Resource{Kind: kinds.Policy, Name: "p", Policy: &kinds.PolicySpec{ColdStartPrice: float64(i + 1)}}, remote.Write{})
+		res, err := client.Put(context.Background(), kinds.Resource{Kind: kinds.Policy, Name: "p", Policy: &kinds.PolicySpec{ColdStartPrice: float64(i + 1)}}, remote.WriteOptions{})
 		if err != nil {
 			b.Fatal(err)
 		}
