--- a/internal/plat/store/client.go
+++ b/internal/plat/store/client.go
@@ -264,7 +264,7 @@
 // post sends one request under the rate limit; a status other than 200 is an error.
 func (c *Client) post(ctx context.Context, path string, req any) (*http.Response, error) {
 	if err := c.limiter.Wait(ctx); err != nil {
-		return nil, &fault.Unavailable{Service: "store", Err: fmt.Errorf("waiting for the client's rate limit: %w", err)}
+		return nil, &fault.Unavailable{Service: "store", Err: fmt.Errorf("call budget: %w", err)}
 	}
 	c.calls.Inc()
 	body, err := json.Marshal(req)
