--- a/internal/agent/slots/manager.go
+++ b/internal/agent/slots/manager.go
@@ -19,7 +19,7 @@
 type Settings struct {
 	Node        string
 	MemoryBytes int64
-	// Epoch is the fencing token of this agent's orders; Confirm sets it.
+	// Epoch is the fencing token of this agent's orders; AllowLoads sets it.
 	Epoch int64
 	// OrderTimeout bounds one load, including the wait for its permit, or one try of an unload.
 	OrderTimeout time.Duration
@@ -114,7 +114,7 @@
 	m.reconcile(time.Now())
 }
 
-// LoadsAllowed reports whether Confirm has been called.
+// LoadsAllowed reports whether AllowLoads has been called.
 func (m *Manager) LoadsAllowed() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/agent/slots/orders.go
+++ b/internal/agent/slots/orders.go
@@ -170,7 +170,7 @@
 // counts it as used until it is adopted or unloaded. It first sends the engine
 // the new epoch, so that an engine that checks fencing tokens refuses orders of
 // the previous agent that arrive after the read. It then waits for ReportLag
-// and Grace, since other engines still accept such orders.
+// and OldOrderGrace, since other engines still accept such orders.
 func (m *Manager) Recover(ctx context.Context, epoch int64) error {
 	if err := m.engine.Unload(ctx, engine.Order{Item: fenceItem, Fence: epoch, Authorize: m.settings.CheckEpoch}); err != nil {
 		m.mu.Lock()
--- a/internal/back/conns/exchange.go
+++ b/internal/back/conns/exchange.go
@@ -48,7 +48,7 @@
 	return f.Err
 }
 
-// Response is a response whose body has not been read; end it with Done or Discard.
+// Response is a response whose body has not been read; end it with Finish or Discard.
 type Response struct {
 	Status int
 	Header http.Header
--- a/internal/back/engine/engine.go
+++ b/internal/back/engine/engine.go
@@ -32,7 +32,7 @@
 	Authorize func(context.Context) error
 }
 
-// Authorized calls Check; nil if there is none.
+// Authorized calls Authorize; nil if there is none.
 func (o Order) Authorized(ctx context.Context) error {
 	if o.Authorize == nil {
 		return nil
--- a/internal/back/plain/plain.go
+++ b/internal/back/plain/plain.go
@@ -32,7 +32,7 @@
 
 // Service is a plain service.
 type Service interface {
-	// Do makes one call; errors are *NotSent or *Lost.
+	// Do makes one call; errors are *NotSent or *LostResponse.
 	Do(ctx context.Context, c Call) (Answer, error)
 }
 
--- a/internal/base/conf/load.go
+++ b/internal/base/conf/load.go
@@ -46,7 +46,7 @@
 	return Decode(file, data, out)
 }
 
-// Decode decodes settings from a YAML document into out and validates them; errors are of type *Wrong.
+// Decode decodes settings from a YAML document into out and validates them; errors are of type *InvalidSetting.
 func Decode(file string, data []byte, out any) error {
 	dec := yaml.NewDecoder(bytes.NewReader(data))
 	dec.KnownFields(true)
@@ -68,7 +68,7 @@
 	lineNumber   = regexp.MustCompile(`line (\d+)`)
 )
 
-// decodeError turns an error of the YAML decoder into a *Wrong.
+// decodeError turns an error of the YAML decoder into an *InvalidSetting.
 func decodeError(file string, data []byte, err error) error {
 	text := err.Error()
 	if m := unknownField.FindStringSubmatch(text); m != nil {
@@ -215,7 +215,7 @@
 	return r, withLocation(file, doc, kinds.Validate(r))
 }
 
-// withLocation turns field errors into a *Wrong with file and line, and returns other errors as they are.
+// withLocation turns field errors into an *InvalidSetting with file and line, and returns other errors as they are.
 func withLocation(file string, doc *yaml.Node, err error) error {
 	if err == nil {
 		return nil
--- a/internal/core/kinds/check.go
+++ b/internal/core/kinds/check.go
@@ -26,7 +26,7 @@
 	return v
 })
 
-// Validate returns a *fault.Fields with every invalid field of the resource, or nil if it is valid.
+// Validate returns a *fault.InvalidFields with every invalid field of the resource, or nil if it is valid.
 func Validate(r Resource) error {
 	var list []fault.InvalidField
 	if !namePattern.MatchString(r.Name) {
--- a/internal/core/kinds/resource.go
+++ b/internal/core/kinds/resource.go
@@ -26,7 +26,7 @@
 	return []Kind{Policy, Model, Adapter, Service}
 }
 
-// ParseKind returns the kind with the name, ignoring case, or a *fault.Field error.
+// ParseKind returns the kind with the name, ignoring case, or a *fault.InvalidField error.
 func ParseKind(name string) (Kind, error) {
 	for _, k := range All() {
 		if strings.EqualFold(string(k), name) {
@@ -124,7 +124,7 @@
 	return nil
 }
 
-// NewResource returns a resource of the kind with a zero spec, or a *fault.Field error for an unknown kind.
+// NewResource returns a resource of the kind with a zero spec, or a *fault.InvalidField error for an unknown kind.
 func NewResource(kind Kind, name string) (Resource, error) {
 	r := Resource{Kind: kind, Name: name}
 	switch kind {
@@ -147,7 +147,7 @@
 }
 
 // strictJSON decodes data into out, rejecting unknown fields and trailing data.
-// It returns errors as *fault.Field with paths that begin with prefix.
+// It returns errors as *fault.InvalidField with paths that begin with prefix.
 func strictJSON(data []byte, out any, prefix string) error {
 	dec := json.NewDecoder(bytes.NewReader(data))
 	dec.DisallowUnknownFields()
--- a/internal/core/kinds/specs.go
+++ b/internal/core/kinds/specs.go
@@ -46,7 +46,7 @@
 type PolicySpec struct {
 	// ColdStartPrice is the cost of one second of a caller's cold-start wait, in seconds of idle accelerator time.
 	ColdStartPrice float64 `yaml:"ColdStartPrice" validate:"gt=0,lte=1000000"`
-	// MaxKeepAlive bounds how long an idle replica stays loaded; 0 means the default of package keep.
+	// MaxKeepAlive bounds how long an idle replica stays loaded; 0 means the default of package idle.
 	MaxKeepAlive Duration `yaml:"MaxKeepAlive" validate:"gte=0"`
 }
 
--- a/internal/core/site/document.go
+++ b/internal/core/site/document.go
@@ -58,7 +58,7 @@
 	AdapterCount int
 	// AdapterMB is the size of one adapter.
 	AdapterMB float64
-	// StoreLoadTime, FromDisk and FromMemory are the load times from the weight store, a server's
+	// StoreLoadTime, DiskLoadTime and MemoryLoadTime are the load times from the weight store, a server's
 	// disk and its main memory.
 	StoreLoadTime  time.Duration
 	DiskLoadTime   time.Duration
--- a/internal/core/view/view.go
+++ b/internal/core/view/view.go
@@ -46,10 +46,10 @@
 	endpoints   map[string][]string
 }
 
-// maxRecentChanges bounds the changes that a view keeps sorted by revision, for Since.
+// maxRecentChanges bounds the changes that a view keeps sorted by revision, for ChangesSince.
 const maxRecentChanges = 1024
 
-// maxRememberedDeletions bounds the deleted keys whose entries a view keeps, for Since.
+// maxRememberedDeletions bounds the deleted keys whose entries a view keeps, for ChangesSince.
 const maxRememberedDeletions = 4096
 
 // Empty returns a view at revision 0.
--- a/internal/front/peers/peers.go
+++ b/internal/front/peers/peers.go
@@ -19,7 +19,7 @@
 	methodUse   = "Use"
 )
 
-// callTimeout bounds a call to another front. A Want call may take its Answer time
+// callTimeout bounds a call to another front. A RequestInstances call may take its Answer time
 // on top.
 const callTimeout = 800 * time.Millisecond
 
@@ -36,7 +36,7 @@
 	Avoid []site.InstanceKey
 }
 
-// InstanceReply is the reply to a Want: instances that can serve now, or why there are none.
+// InstanceReply is the reply to an InstanceRequest: instances that can serve now, or why there are none.
 type InstanceReply struct {
 	Instances []site.InstanceKey
 	// Waiting is true if Answer ended before Wait, so that the front should ask again.
@@ -158,7 +158,7 @@
 	return store.List{}, false
 }
 
-// RequestInstances asks the current planner for instances. It returns a NoPlanner error if there
+// RequestInstances asks the current planner for instances. It returns a NoPlannerError if there
 // is no planner.
 func (m *Client) RequestInstances(ctx context.Context, w InstanceRequest) (InstanceReply, error) {
 	planner := m.state().Planner
@@ -173,7 +173,7 @@
 	return found, err
 }
 
-// ReportUsage reports usage to the current planner. It returns a NoPlanner error if there is
+// ReportUsage reports usage to the current planner. It returns a NoPlannerError if there is
 // no planner.
 func (m *Client) ReportUsage(ctx context.Context, u UsageReport) (PlannerStatus, error) {
 	planner := m.state().Planner
--- a/internal/front/sched/candidate.go
+++ b/internal/front/sched/candidate.go
@@ -30,7 +30,7 @@
 	maxClaimJitter = 150 * time.Millisecond
 )
 
-// LeaseStore is the part of the store that a Lead uses.
+// LeaseStore is the part of the store that a Candidate uses.
 type LeaseStore interface {
 	Grant(ctx context.Context, ttl time.Duration) (int64, error)
 	KeepAlive(ctx context.Context, lease int64) (bool, error)
@@ -61,7 +61,7 @@
 	renewalFailing bool
 }
 
-// CandidateOptions describe the front, its machine and the store to a Lead.
+// CandidateOptions describe the front, its machine and the store to a Candidate.
 type CandidateOptions struct {
 	Name    string
 	Address string
@@ -73,7 +73,7 @@
 	SinceBoot func() time.Duration
 }
 
-// NewCandidate returns a Lead that registers the front once Run is called.
+// NewCandidate returns a Candidate that registers the front once Run is called.
 func NewCandidate(o CandidateOptions, s LeaseStore, state func() *follow.State, log *zap.SugaredLogger) *Candidate {
 	return &Candidate{
 		Self: follow.Front{Name: o.Name, Address: o.Address, Run: uuid.NewString()}, store: s, state: state,
--- a/internal/lab/emul/result.go
+++ b/internal/lab/emul/result.go
@@ -73,7 +73,7 @@
 	Result
 }
 
-// LoadFactors returns the multiples of a site's request rates that Experiment simulates.
+// LoadFactors returns the multiples of a site's request rates that RunExperiment simulates.
 func LoadFactors() []float64 { return []float64{0.5, 1, 1.5, 2, 2.5} }
 
 // RunExperiment simulates every knowledge set at every load factor with every seed.
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -32,7 +32,7 @@
 }
 
 // Policies returns the policies to compare: first the one that the production
-// system uses, last the clairvoyant one that Write normalizes costs to.
+// system uses, last the clairvoyant one that WriteTable normalizes costs to.
 func Policies(d traces.Deployment) []replay.KeepAlivePolicy {
 	return []replay.KeepAlivePolicy{
 		replay.NewLearned(d.Models),
--- a/internal/link/fanout/follow.go
+++ b/internal/link/fanout/follow.go
@@ -167,7 +167,7 @@
 	f.failedAt[node] = time.Now()
 }
 
-// SortByRank sorts the nodes of a failure domain by a hash of their names, in place. The first Parents nodes are the roots, which watch the store.
+// SortByRank sorts the nodes of a failure domain by a hash of their names, in place. The first ParentCount nodes are the roots, which watch the store.
 func SortByRank(nodes []plan.Node) []plan.Node {
 	slices.SortFunc(nodes, func(a, b plan.Node) int {
 		if c := cmp.Compare(xxhash.Sum64String(b.Name), xxhash.Sum64String(a.Name)); c != 0 {
--- a/internal/link/peer/conn.go
+++ b/internal/link/peer/conn.go
@@ -167,7 +167,7 @@
 }
 
 // Call sends a request and waits for its reply until the context ends. For long waits the caller
-// should also hold Begin, so that the heartbeat detects a dead peer.
+// should also hold BeginWork, so that the heartbeat detects a dead peer.
 func (c *Conn) Call(ctx context.Context, method string, params, reply any) error {
 	err := c.rpc.Call(ctx, method, params, reply)
 	var remote *jsonrpc2.Error
--- a/internal/link/peer/frames.go
+++ b/internal/link/peer/frames.go
@@ -21,7 +21,7 @@
 	streamBit = 1 << 31
 )
 
-// FrameTooLongError reports a message larger than MaxFrame.
+// FrameTooLongError reports a message larger than MaxFrameBytes.
 type FrameTooLongError struct {
 	Bytes int
 }
--- a/internal/link/peer/frames_test.go
+++ b/internal/link/peer/frames_test.go
@@ -12,7 +12,7 @@
 
 func (*buffer) Close() error { return nil }
 
-// FuzzFrame checks that no input makes the reader panic or accept a frame larger than MaxFrame.
+// FuzzFrame checks that no input makes the reader panic or accept a frame larger than MaxFrameBytes.
 func FuzzFrame(f *testing.F) {
 	var buf buffer
 	if err := newFrameStream(&buf, nil).WriteObject(Hello{Node: "a", Epoch: 1}); err != nil {
--- a/internal/link/peer/pool.go
+++ b/internal/link/peer/pool.go
@@ -49,7 +49,7 @@
 	return p, p.close
 }
 
-// Get returns the open connection to an address and dials if there is none. Its error is a *Lost.
+// Get returns the open connection to an address and dials if there is none. Its error is a *ConnError.
 func (p *Pool) Get(ctx context.Context, address string) (*Conn, error) {
 	if conn := p.liveConn(address); conn != nil {
 		return conn, nil
--- a/internal/oper/remote/client.go
+++ b/internal/oper/remote/client.go
@@ -146,7 +146,7 @@
 // maxProblemBytes bounds the response body read from a refused call.
 const maxProblemBytes = 1 << 20
 
-// send makes one call. It returns a *Problem for any status other than 200 and a *fault.Away if the entry is unreachable.
+// send makes one call. It returns a *RefusedError for any status other than 200 and a *fault.Unavailable if the entry is unreachable.
 func (c *Client) send(ctx context.Context, method, path string, header http.Header, body any) (*http.Response, error) {
 	var data []byte
 	if body != nil {
--- a/internal/plat/fleet/fleet.go
+++ b/internal/plat/fleet/fleet.go
@@ -42,7 +42,7 @@
 	return &Client{url: base + "/v1/instances", http: &http.Client{Transport: transport}}
 }
 
-// Instances returns the platform's current list; errors of the call are *fault.Away.
+// Instances returns the platform's current list; errors of the call are *fault.Unavailable.
 func (c *Client) Instances(ctx context.Context) ([]Instance, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/internal/plat/follow/follower.go
+++ b/internal/plat/follow/follower.go
@@ -297,7 +297,7 @@
 }
 
 // retainMissing restores in keys a document that is missing there, and the
-// instances that disappeared during an outage or within Times.Returning after it.
+// instances that disappeared during an outage or within Delays.ReturnGrace after it.
 func (f *Follower) retainMissing(old *State, keys map[string]store.KV) {
 	if kv, ok := old.Keys[f.layout.DocumentKey]; ok && keys[f.layout.DocumentKey].Revision == 0 {
 		keys[f.layout.DocumentKey] = kv
--- a/internal/plat/follow/follower_test.go
+++ b/internal/plat/follow/follower_test.go
@@ -33,10 +33,10 @@
 	return in, err
 }
 
-// testReturnGrace is Times.Returning in these tests.
+// testReturnGrace is Delays.ReturnGrace in these tests.
 const testReturnGrace = 2 * time.Second
 
-// testBatchDelay is Times.Gather in these tests.
+// testBatchDelay is Delays.BatchDelay in these tests.
 const testBatchDelay = 600 * time.Millisecond
 
 // followerTest runs a follower of an in-memory store in a synctest bubble.
@@ -190,7 +190,7 @@
 	})
 }
 
-// TestLapsedInstances checks that instances whose announcements lapse during an outage are kept for Times.Returning.
+// TestLapsedInstances checks that instances whose announcements lapse during an outage are kept for Delays.ReturnGrace.
 func TestLapsedInstances(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -225,7 +225,7 @@
 
 // TestInstanceThatLeavesSoonAfterAnOutage removes an instance one second after
 // the store has recovered, without draining it first: it is kept no longer than
-// Times.Returning after the outage.
+// Delays.ReturnGrace after the outage.
 func TestInstanceThatLeavesSoonAfterAnOutage(t *testing.T) {
 	runFollower(t, nil, func(w *followerTest) {
 		w.put("op/doc", "v1")
--- a/internal/plat/ledger/ledger.go
+++ b/internal/plat/ledger/ledger.go
@@ -49,7 +49,7 @@
 	return &Ledger{store: s, onAccepted: onAccepted}
 }
 
-// Write commits a change and returns its revision; if the key is not at Change.From, the error is a *fault.Conflict.
+// Write commits a change and returns its revision; if the key is not at Change.From, the error is a *fault.RevisionConflict.
 func (l *Ledger) Write(ctx context.Context, c Change) (int64, error) {
 	lease, err := l.currentLease(ctx)
 	if err != nil {
--- a/internal/plat/store/store.go
+++ b/internal/plat/store/store.go
@@ -64,7 +64,7 @@
 	Events   []Event
 }
 
-// Store is the key-value service. Calls without a response return *fault.Away,
+// Store is the key-value service. Calls without a response return *fault.Unavailable,
 // with Unsettled set if a write may have been applied.
 type Store interface {
 	// Range returns the keys with a prefix from a linearizable read.
--- a/internal/policy/idle/decide.go
+++ b/internal/policy/idle/decide.go
@@ -8,18 +8,18 @@
 	ColdWait time.Duration
 	// ColdStartPrice is the number of idle accelerator seconds that one second of waiting in a cold start is worth.
 	ColdStartPrice float64
-	// MaxKeepAlive bounds the time that an idle replica stays loaded; Alive takes 0 as DefaultMax.
+	// MaxKeepAlive bounds the time that an idle replica stays loaded; KeepAlive takes 0 as DefaultMaxKeepAlive.
 	MaxKeepAlive time.Duration
 }
 
 // DefaultMaxKeepAlive bounds the keep-alive time if the policy sets no bound.
 const DefaultMaxKeepAlive = 4 * time.Hour
 
-// minGapsSeen is the number of observed gaps below which Alive uses BreakEven instead of the histogram.
+// minGapsSeen is the number of observed gaps below which KeepAlive uses BreakEven instead of the histogram.
 const minGapsSeen = 6
 
 // BreakEven returns the idle time whose cost equals that of one cold start,
-// bounded by Max. Without that bound it costs at most twice the best choice for
+// bounded by MaxKeepAlive. Without that bound it costs at most twice the best choice for
 // any gap.
 func BreakEven(c Costs) time.Duration {
 	return min(c.MaxKeepAlive, time.Duration(c.ColdStartPrice*float64(c.ColdWait)))
--- a/internal/policy/permit/permit.go
+++ b/internal/policy/permit/permit.go
@@ -8,7 +8,7 @@
 
 // Limits are the rate and concurrency that the weight store serves at full speed.
 type Limits struct {
-	// ConcurrentModels and Adapters bound the concurrent loads of each kind.
+	// ConcurrentModels and ConcurrentAdapters bound the concurrent loads of each kind.
 	ConcurrentModels   int
 	ConcurrentAdapters int
 	// ModelsPerSecond bounds the model loads that begin per second.
--- a/internal/policy/place/place.go
+++ b/internal/policy/place/place.go
@@ -24,12 +24,12 @@
 	Bytes int64
 	// AllowedDomains lists the allowed failure domains; empty allows all.
 	AllowedDomains []string
-	// UsedDomains lists the failure domains of the model's other slots, and Used their endpoints.
+	// UsedDomains lists the failure domains of the model's other slots, and UsedEndpoints their endpoints.
 	UsedDomains   []string
 	UsedEndpoints []string
 }
 
-// localityGain is the share of an endpoint's memory that each level of Near offsets in the load score.
+// localityGain is the share of an endpoint's memory that each level of CheckpointTier offsets in the load score.
 const localityGain = 0.25
 
 // Choose returns the best endpoint for one more slot, or false if none fits. It
--- a/internal/policy/retry/share.go
+++ b/internal/policy/retry/share.go
@@ -2,7 +2,7 @@
 
 // BudgetShare is one process's part of a retry budget that several processes divide.
 // Retries beyond the saved ones must be earned by first sends, so that in any
-// period all retries are at most the slack plus Ratio times the first sends.
+// period all retries are at most the slack plus RetriesPerSend times the first sends.
 type BudgetShare struct {
 	// RetriesPerSend is the number of retries that each first send earns.
 	RetriesPerSend float64
--- a/internal/policy/score/score.go
+++ b/internal/policy/score/score.go
@@ -41,7 +41,7 @@
 	lateCostMs = 1000.0
 	// defaultPauseRisk is the minimum probability of a pause after a long prefill, also where no risk is known.
 	defaultPauseRisk = 0.01
-	// longPromptRatio is the prefill time, in multiples of LongRead, above which
+	// longPromptRatio is the prefill time, in multiples of LongPrefill, above which
 	// a prompt alone may make streams pause. maxLengthRisk bounds the
 	// probability assumed for that.
 	longPromptRatio = 1.5
--- a/internal/policy/swap/cost.go
+++ b/internal/policy/swap/cost.go
@@ -104,7 +104,7 @@
 
 // weightSource returns the fastest source of a model's weights for a server and
 // the load time from it. Loads from the weight store slow down in proportion
-// when more than AtOnce run.
+// when more than StoreConcurrency run.
 func (d *decision) weightSource(s *Server, model *site.Model) (Source, time.Duration) {
 	switch {
 	case slices.Contains(s.InMemory, model.Name) && model.MemoryLoadTime > 0:
--- a/internal/policy/swap/swap.go
+++ b/internal/policy/swap/swap.go
@@ -54,7 +54,7 @@
 	// weights a server has or, while its state is unknown, may have. The planner
 	// sets it while it knows too little.
 	Conservative bool
-	// StoreLoadsLeft is the number of loads from the weight store that may begin now, and Loading the number running.
+	// StoreLoadsLeft is the number of loads from the weight store that may begin now, and StoreLoadsRunning the number running.
 	StoreLoadsLeft    int
 	StoreLoadsRunning int
 	// StoreConcurrency is the estimated number of concurrent loads that the weight store serves at full speed.
--- a/internal/standin/engsim/engine.go
+++ b/internal/standin/engsim/engine.go
@@ -19,7 +19,7 @@
 	LoadTime    time.Duration
 	AdapterTime time.Duration
 	UnloadTime  time.Duration
-	// TimeToFirstToken is the time to first token, TokenTime the inter-token latency.
+	// TimeToFirstToken is the time to first token, InterTokenLatency the inter-token latency.
 	TimeToFirstToken  time.Duration
 	InterTokenLatency time.Duration
 	// MaxReportAge is how long a report is reused before it is refreshed.
@@ -280,7 +280,7 @@
 	return &fault.Unavailable{Service: "engine", Err: errors.New("answer lost"), MayHaveApplied: true}
 }
 
-// Report returns the state of the engine, which is up to ReportLag old.
+// Report returns the state of the engine, which is up to MaxReportAge old.
 func (m *Engine) Report(context.Context) (engine.Report, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/standin/engsim/generate.go
+++ b/internal/standin/engsim/generate.go
@@ -44,7 +44,7 @@
 }
 
 // Generate calls fn with the tokens of the answer after the skipped ones, paced
-// by FirstToken and TokenTime, and returns the finish reason.
+// by TimeToFirstToken and InterTokenLatency, and returns the finish reason.
 func (m *Engine) Generate(ctx context.Context, r engine.Request, fn func(engine.Token) error) (string, error) {
 	var p chatPrompt
 	if err := json.Unmarshal(r.Body, &p); err != nil {
--- a/internal/standin/svcsim/endpoint.go
+++ b/internal/standin/svcsim/endpoint.go
@@ -26,7 +26,7 @@
 }
 
 // Endpoint is a stand-in service endpoint. It implements plain.Service. The endpoints
-// of one service share a Book.
+// of one service share a RunLog.
 type Endpoint struct {
 	name   string
 	book   *RunLog
