--- a/internal/core/view/view_test.go
+++ b/internal/core/view/view_test.go
@@ -8,10 +8,10 @@
 	. "github.com/onsi/gomega"
 	"pgregory.net/rapid"
 
-	"foxtailcroft/test/draws"
+	"foxtailcroft/test/seeds"
 )
 
-func TestMain(m *testing.M) { draws.Main(m, 200) }
+func TestMain(m *testing.M) { seeds.RunTests(m, 200) }
 
 // drawnWrite is one accepted write of the drawn history.
 type drawnWrite struct {
--- a/internal/front/proxy/history_test.go
+++ b/internal/front/proxy/history_test.go
@@ -18,7 +18,7 @@
 	"github.com/sourcegraph/conc"
 
 	"foxtailcroft/internal/core/site"
-	"foxtailcroft/test/draws"
+	"foxtailcroft/test/seeds"
 )
 
 // orderService is the handler of all servers of a service, which share a count of orders.
@@ -151,7 +151,7 @@
 // twice, or run although they were refused.
 func TestOrderCountIsLinearizable(t *testing.T) {
 	const callers, callsPerCaller, histories = 4, 12, 8
-	firstSeed := draws.Seed()
+	firstSeed := seeds.FromEnvironment()
 	for seed := firstSeed; seed < firstSeed+histories; seed++ {
 		withRelay(t, 3, func(r *harness) {
 			service := &orderService{random: rand.New(rand.NewPCG(seed, 1))}
--- a/internal/front/proxy/proxy_test.go
+++ b/internal/front/proxy/proxy_test.go
@@ -22,14 +22,14 @@
 	"foxtailcroft/internal/plat/follow"
 	"foxtailcroft/platform"
 	"foxtailcroft/platform/fake"
-	"foxtailcroft/test/pipes"
+	"foxtailcroft/test/memnet"
 )
 
 // harness is a relay in front of mimicked servers in one synctest bubble.
 type harness struct {
 	t            *testing.T
 	g            *WithT
-	net          *pipes.Network
+	net          *memnet.Network
 	stopServer   map[string]func()
 	executions   *fake.ExecutionLog
 	relay        *Server
@@ -51,7 +51,7 @@
 // hold model m; routes begin with /safe/, /unsafe/, /resume/ and /stream/.
 func withRelay(t *testing.T, n int, test func(*harness)) {
 	synctest.Test(t, func(t *testing.T) {
-		r := &harness{t: t, g: NewWithT(t), net: pipes.New(), stopServer: map[string]func(){}, executions: &fake.ExecutionLog{}, log: &bytes.Buffer{}}
+		r := &harness{t: t, g: NewWithT(t), net: memnet.New(), stopServer: map[string]func(){}, executions: &fake.ExecutionLog{}, log: &bytes.Buffer{}}
 		route := func(prefix string, kind site.RouteKind, attempts int, resumable bool, service string) site.Route {
 			return site.Route{
 				Name: prefix, Host: "h.example", Prefix: prefix, Kind: kind, MaxAttempts: attempts, Resumable: resumable,
--- a/internal/front/proxy/raw_test.go
+++ b/internal/front/proxy/raw_test.go
@@ -14,10 +14,10 @@
 	. "github.com/onsi/gomega"
 	"pgregory.net/rapid"
 
-	"foxtailcroft/test/draws"
+	"foxtailcroft/test/seeds"
 )
 
-func TestMain(m *testing.M) { draws.Main(m, 150) }
+func TestMain(m *testing.M) { seeds.RunTests(m, 150) }
 
 // rawRequest is a request as bytes, with the id and body length that a server may run.
 type rawRequest struct {
@@ -63,7 +63,7 @@
 // TestRawRequestsAreNotSmuggled sends drawn bytes over a caller's connection:
 // servers run no request that the caller did not send, none twice, and none with a different body.
 func TestRawRequestsAreNotSmuggled(t *testing.T) {
-	t.Logf("FOXTAILCROFT_SEED=%d", draws.Seed())
+	t.Logf("FOXTAILCROFT_SEED=%d", seeds.FromEnvironment())
 	rapid.Check(t, func(rt *rapid.T) {
 		var sent []rawRequest
 		for n := range rapid.IntRange(1, 5).Draw(rt, "requests") {
--- a/internal/front/sched/main_test.go
+++ b/internal/front/sched/main_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"foxtailcroft/test/draws"
+	"foxtailcroft/test/seeds"
 )
 
-func TestMain(m *testing.M) { draws.Main(m, 100) }
+func TestMain(m *testing.M) { seeds.RunTests(m, 100) }
--- a/internal/front/sched/planner_test.go
+++ b/internal/front/sched/planner_test.go
@@ -25,8 +25,8 @@
 	"foxtailcroft/internal/standin/kvsim"
 	"foxtailcroft/platform"
 	"foxtailcroft/platform/fake"
-	"foxtailcroft/test/draws"
-	"foxtailcroft/test/pipes"
+	"foxtailcroft/test/memnet"
+	"foxtailcroft/test/seeds"
 )
 
 const (
@@ -41,7 +41,7 @@
 type cluster struct {
 	g         *WithT
 	ctx       context.Context
-	net       *pipes.Network
+	net       *memnet.Network
 	memory    *kvsim.MemoryStore
 	orderBook *fake.ExecutionLog
 	servers   []*fake.Server
@@ -108,7 +108,7 @@
 func runClusterWith(t *testing.T, checksFence bool, servers, fronts, models int, test func(*cluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		c := &cluster{g: NewWithT(t), ctx: ctx, net: pipes.New(), memory: kvsim.NewMemoryStore(1), orderBook: &fake.ExecutionLog{}, checksFence: checksFence}
+		c := &cluster{g: NewWithT(t), ctx: ctx, net: memnet.New(), memory: kvsim.NewMemoryStore(1), orderBook: &fake.ExecutionLog{}, checksFence: checksFence}
 		doc := `{"version":1,"routes":[],"services":[{"name":"llm","engine":{"slots":8,"weightsMb":220000,"adapterSlots":8,"loadsPerS":2,"models":[`
 		for i := range models {
 			if i > 0 {
@@ -375,10 +375,10 @@
 // It checks that no server is ordered to hold more than fits in its memory and adapter
 // places, and that every fencing token belongs to one planner.
 func TestOrdersStayInBoundsUnderFaults(t *testing.T) {
-	t.Logf("FOXTAILCROFT_SEED=%d", draws.Seed())
+	t.Logf("FOXTAILCROFT_SEED=%d", seeds.FromEnvironment())
 	rapid.Check(t, func(rt *rapid.T) {
 		seed := rapid.Uint64().Draw(rt, "seed")
-		runCluster(t, 4, 3, 14, func(c *cluster) { c.injectFaults(rand.New(rand.NewPCG(seed, draws.Seed()))) })
+		runCluster(t, 4, 3, 14, func(c *cluster) { c.injectFaults(rand.New(rand.NewPCG(seed, seeds.FromEnvironment()))) })
 	})
 }
 
--- a/internal/node/front/deployment_test.go
+++ b/internal/node/front/deployment_test.go
@@ -12,10 +12,10 @@
 	"pgregory.net/rapid"
 
 	"foxtailcroft/platform"
-	"foxtailcroft/test/draws"
+	"foxtailcroft/test/seeds"
 )
 
-func TestMain(m *testing.M) { draws.Main(m, 30) }
+func TestMain(m *testing.M) { seeds.RunTests(m, 30) }
 
 // deployment is a randomly drawn deployment; its bounds, sizes and names differ from those of the existing ones.
 type deployment struct {
@@ -98,7 +98,7 @@
 // fronts serve, apply a configuration change and a server's leaving within the
 // bounds of their settings, and drain within the grace period.
 func TestDrawnDeployments(t *testing.T) {
-	t.Logf("FOXTAILCROFT_SEED=%d", draws.Seed())
+	t.Logf("FOXTAILCROFT_SEED=%d", seeds.FromEnvironment())
 	rapid.Check(t, func(rt *rapid.T) {
 		d := drawDeployment(rt)
 		var files [][]byte
--- a/internal/node/front/front_test.go
+++ b/internal/node/front/front_test.go
@@ -23,14 +23,14 @@
 	"foxtailcroft/internal/standin/kvsim"
 	"foxtailcroft/platform"
 	"foxtailcroft/platform/fake"
-	"foxtailcroft/test/pipes"
+	"foxtailcroft/test/memnet"
 )
 
 // harness provides a store, servers and a network for fronts in one synctest bubble.
 type harness struct {
 	g          *WithT
 	ctx        context.Context
-	net        *pipes.Network
+	net        *memnet.Network
 	memory     *kvsim.MemoryStore
 	store      *fake.Store
 	executions *fake.ExecutionLog
@@ -42,7 +42,7 @@
 // withHarness runs a test with a new harness.
 func withHarness(t *testing.T, test func(*harness)) {
 	synctest.Test(t, func(t *testing.T) {
-		r := &harness{g: NewWithT(t), ctx: t.Context(), net: pipes.New(), memory: kvsim.NewMemoryStore(1), executions: &fake.ExecutionLog{}}
+		r := &harness{g: NewWithT(t), ctx: t.Context(), net: memnet.New(), memory: kvsim.NewMemoryStore(1), executions: &fake.ExecutionLog{}}
 		r.store = fake.NewStore(r.memory)
 		r.net.Serve("store:1", r.store)
 		transport := &http.Transport{DialContext: r.dial}
--- a/internal/policy/idle/decide_test.go
+++ b/internal/policy/idle/decide_test.go
@@ -7,10 +7,10 @@
 	. "github.com/onsi/gomega"
 	"pgregory.net/rapid"
 
-	"foxtailcroft/test/draws"
+	"foxtailcroft/test/seeds"
 )
 
-func TestMain(m *testing.M) { draws.Main(m, 200) }
+func TestMain(m *testing.M) { seeds.RunTests(m, 200) }
 
 func TestAlive(t *testing.T) {
 	cases := []struct {
--- a/test/draws/doc.go
+++ /dev/null
@@ -1,2 +0,0 @@
-// Package draws fixes the seed of property tests, so that they give the same verdict on every run.
-package draws
--- a/test/pipes/pipes.go
+++ b/test/memnet/pipes.go
@@ -1,4 +1,4 @@
-package pipes
+package memnet
 
 import (
 	"context"
@@ -50,8 +50,8 @@
 	}
 }
 
-// Cut makes connections to an address hang, or lets them through again.
-func (n *Network) Cut(address string, on bool) {
+// SetUnreachable makes connections to an address hang, or lets them through again.
+func (n *Network) SetUnreachable(address string, on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cut[address] = on
--- a/test/proofs/rig_test.go
+++ b/test/proofs/rig_test.go
@@ -34,7 +34,7 @@
 	"foxtailcroft/internal/standin/engsim"
 	"foxtailcroft/internal/standin/kvsim"
 	"foxtailcroft/internal/standin/svcsim"
-	"foxtailcroft/test/draws"
+	"foxtailcroft/test/seeds"
 )
 
 const gigabyte = 1 << 30
@@ -42,8 +42,8 @@
 // seed returns the seed of this run.
 func seed(t *testing.T) uint64 {
 	t.Helper()
-	t.Logf("FOXTAILCROFT_SEED=%d", draws.Seed())
-	return draws.Seed()
+	t.Logf("FOXTAILCROFT_SEED=%d", seeds.FromEnvironment())
+	return seeds.FromEnvironment()
 }
 
 // rig is a deployment in one synctest bubble.
--- a/test/proofs/storm_test.go
+++ b/test/proofs/storm_test.go
@@ -14,11 +14,11 @@
 	"foxtailcroft/internal/standin/engsim"
 	"foxtailcroft/internal/standin/kvsim"
 	"foxtailcroft/internal/standin/svcsim"
-	"foxtailcroft/test/draws"
+	"foxtailcroft/test/seeds"
 )
 
 // TestMain fixes the seed of the drawn storms.
-func TestMain(m *testing.M) { draws.Main(m, 12) }
+func TestMain(m *testing.M) { seeds.RunTests(m, 12) }
 
 // stormFault is one drawn fault: what, when, on which of the endpoints or entries.
 type stormFault struct {
--- a/test/draws/draws.go
+++ b/test/seeds/draws.go
@@ -1,4 +1,4 @@
-package draws
+package seeds
 
 import (
 	"flag"
@@ -13,8 +13,8 @@
 
 const defaultSeed = 20261204
 
-// Seed returns the seed of this run.
-func Seed() uint64 {
+// FromEnvironment returns the seed of this run.
+func FromEnvironment() uint64 {
 	n, err := strconv.ParseUint(os.Getenv(variable), 10, 64)
 	if err != nil {
 		return defaultSeed
@@ -22,13 +22,13 @@
 	return n
 }
 
-// Main runs a package's tests with rapid's draws fixed by the seed and its
+// RunTests runs a package's tests with rapid's draws fixed by the seed and its
 // number of checks, unless flags say otherwise.
-func Main(m *testing.M, checks int) {
+func RunTests(m *testing.M, checks int) {
 	flag.Parse()
 	set := map[string]bool{}
 	flag.Visit(func(f *flag.Flag) { set[f.Name] = true })
-	for name, value := range map[string]string{"rapid.seed": fmt.Sprint(Seed()), "rapid.checks": fmt.Sprint(checks), "rapid.nofailfile": "true"} {
+	for name, value := range map[string]string{"rapid.seed": fmt.Sprint(FromEnvironment()), "rapid.checks": fmt.Sprint(checks), "rapid.nofailfile": "true"} {
 		if flag.Lookup(name) == nil || set[name] {
 			continue
 		}
@@ -36,6 +36,6 @@
 			panic(err)
 		}
 	}
-	fmt.Printf("%s=%d\n", variable, Seed())
+	fmt.Printf("%s=%d\n", variable, FromEnvironment())
 	os.Exit(m.Run())
 }
