--- a/test/contract/back_test.go
+++ b/test/contract/back_test.go
@@ -19,17 +19,18 @@
 )
 
 var (
-	base    = engine.Item{Model: "m", Version: "1"}
-	adapted = engine.Item{Model: "m", Adapter: "a", Version: "1"}
-	prompt  = json.RawMessage(`[{"role":"user","content":"x"}]`)
+	baseModel = engine.Item{Model: "m", Version: "1"}
+	adapter   = engine.Item{Model: "m", Adapter: "a", Version: "1"}
+	prompt    = json.RawMessage(`[{"role":"user","content":"x"}]`)
 )
 
+// chat returns the body of a chat request for at most tokens tokens.
 func chat(tokens string) json.RawMessage {
 	return json.RawMessage(`{"messages":` + string(prompt) + `,"max_tokens":` + tokens + `}`)
 }
 
 var _ = Describe("engine", func() {
-	for name, open := range engines() {
+	for name, newEngine := range engines() {
 		Context(name, func() {
 			var m *motor.Motor
 			var e engine.Engine
@@ -37,98 +38,98 @@
 
 			BeforeEach(func() {
 				m = motor.New(motor.Settings{MemoryBytes: 100, CheckFence: true, LoadTime: 20 * time.Millisecond, UnloadTime: 5 * time.Millisecond, TokenTime: time.Millisecond})
-				e = open(m)
+				e = newEngine(m)
 				var cancel context.CancelFunc
 				ctx, cancel = context.WithTimeout(context.Background(), 20*time.Second)
 				DeferCleanup(cancel)
 			})
 
-			load := func(i engine.Item, bytes, fence int64) error {
-				return e.Load(ctx, engine.Order{Item: i, Bytes: bytes, Fence: fence})
+			load := func(item engine.Item, bytes, fence int64) error {
+				return e.Load(ctx, engine.Order{Item: item, Bytes: bytes, Fence: fence})
 			}
 
-			It("loads once however often it is ordered", func() {
-				Expect(load(base, 60, 1)).To(Succeed())
-				Expect(load(base, 60, 1)).To(Succeed())
+			It("loads an item only once when the load order is repeated", func() {
+				Expect(load(baseModel, 60, 1)).To(Succeed())
+				Expect(load(baseModel, 60, 1)).To(Succeed())
 				Expect(m.Stats().Loads).To(Equal(1))
 			})
 
-			It("refuses a load that does not fit", func() {
-				Expect(load(base, 60, 1)).To(Succeed())
-				var full *engine.NoMemory
-				Expect(errors.As(load(engine.Item{Model: "n", Version: "1"}, 60, 1), &full)).To(BeTrue())
+			It("refuses a load that does not fit into the free memory", func() {
+				Expect(load(baseModel, 60, 1)).To(Succeed())
+				var noMemory *engine.NoMemory
+				Expect(errors.As(load(engine.Item{Model: "n", Version: "1"}, 60, 1), &noMemory)).To(BeTrue())
 			})
 
-			It("refuses an old fencing number", func() {
-				Expect(load(base, 60, 5)).To(Succeed())
+			It("refuses an order with a stale fencing token", func() {
+				Expect(load(baseModel, 60, 5)).To(Succeed())
 				var fenced *engine.Fenced
-				Expect(errors.As(e.Unload(ctx, engine.Order{Item: base, Fence: 4}), &fenced)).To(BeTrue())
+				Expect(errors.As(e.Unload(ctx, engine.Order{Item: baseModel, Fence: 4}), &fenced)).To(BeTrue())
 				Expect(fenced.Current).To(Equal(int64(5)))
 			})
 
-			It("asks before each message of an order whether it may be sent", func() {
+			It("runs the order's Check before it sends a message", func() {
 				refused := &engine.Fenced{Given: 1, Current: 2}
-				err := e.Load(ctx, engine.Order{Item: base, Bytes: 1, Fence: 1, Check: func(context.Context) error { return refused }})
+				err := e.Load(ctx, engine.Order{Item: baseModel, Bytes: 1, Fence: 1, Check: func(context.Context) error { return refused }})
 				Expect(err).To(MatchError(refused))
 				Expect(m.Holds()).To(BeEmpty())
 			})
 
-			It("unloads, also what is not there", func() {
-				Expect(load(base, 60, 1)).To(Succeed())
-				Expect(e.Unload(ctx, engine.Order{Item: base, Fence: 1})).To(Succeed())
-				Expect(e.Unload(ctx, engine.Order{Item: base, Fence: 1})).To(Succeed())
+			It("unloads an item and accepts a repeated unload", func() {
+				Expect(load(baseModel, 60, 1)).To(Succeed())
+				Expect(e.Unload(ctx, engine.Order{Item: baseModel, Fence: 1})).To(Succeed())
+				Expect(e.Unload(ctx, engine.Order{Item: baseModel, Fence: 1})).To(Succeed())
 				Expect(m.Holds()).To(BeEmpty())
 			})
 
-			It("reports what it holds", func() {
-				Expect(load(base, 60, 1)).To(Succeed())
+			It("reports its memory and the loaded items", func() {
+				Expect(load(baseModel, 60, 1)).To(Succeed())
 				report, err := e.Report(ctx)
 				Expect(err).NotTo(HaveOccurred())
 				Expect(report.MemoryBytes).To(Equal(int64(100)))
-				Expect(report.Held).To(ConsistOf(engine.Held{Item: base, Bytes: 60}))
+				Expect(report.Held).To(ConsistOf(engine.Held{Item: baseModel, Bytes: 60}))
 			})
 
-			It("streams a whole answer with its finish reason", func() {
-				Expect(load(base, 60, 1)).To(Succeed())
+			It("streams a complete answer with its finish reason", func() {
+				Expect(load(baseModel, 60, 1)).To(Succeed())
 				text := ""
-				finish, err := e.Generate(ctx, engine.Request{Item: base, Body: chat("5")}, func(t engine.Token) error { text += t.Text; return nil })
+				finish, err := e.Generate(ctx, engine.Request{Item: baseModel, Body: chat("5")}, func(t engine.Token) error { text += t.Text; return nil })
 				Expect(err).NotTo(HaveOccurred())
 				Expect(finish).To(Equal("stop"))
 				Expect(text).To(Equal(motor.Answer(prompt, 5)))
 			})
 
 			It("serves an adapter on its base model", func() {
-				Expect(load(base, 60, 1)).To(Succeed())
-				Expect(load(adapted, 10, 1)).To(Succeed())
-				_, err := e.Generate(ctx, engine.Request{Item: adapted, Body: chat("2")}, func(engine.Token) error { return nil })
+				Expect(load(baseModel, 60, 1)).To(Succeed())
+				Expect(load(adapter, 10, 1)).To(Succeed())
+				_, err := e.Generate(ctx, engine.Request{Item: adapter, Body: chat("2")}, func(engine.Token) error { return nil })
 				Expect(err).NotTo(HaveOccurred())
 			})
 
-			It("continues a stream after the tokens that were delivered", func() {
-				Expect(load(base, 60, 1)).To(Succeed())
+			It("resumes a broken stream after the delivered tokens", func() {
+				Expect(load(baseModel, 60, 1)).To(Succeed())
 				m.SetFaults(motor.Faults{BreakAfter: 3})
-				text, next := "", 0
-				take := func(t engine.Token) error { text += t.Text; next = t.Index + 1; return nil }
-				_, err := e.Generate(ctx, engine.Request{Item: base, Body: chat("8")}, take)
+				text, nextIndex := "", 0
+				appendToken := func(t engine.Token) error { text += t.Text; nextIndex = t.Index + 1; return nil }
+				_, err := e.Generate(ctx, engine.Request{Item: baseModel, Body: chat("8")}, appendToken)
 				var broken *engine.Broken
 				Expect(errors.As(err, &broken)).To(BeTrue())
 				Expect(broken.Tokens).To(Equal(3))
-				_, err = e.Generate(ctx, engine.Request{Item: base, Body: chat("8"), SkipTokens: next, Prefix: text}, take)
+				_, err = e.Generate(ctx, engine.Request{Item: baseModel, Body: chat("8"), SkipTokens: nextIndex, Prefix: text}, appendToken)
 				Expect(err).NotTo(HaveOccurred())
 				Expect(text).To(Equal(motor.Answer(prompt, 8)))
 			})
 
-			It("says that an item is not loaded", func() {
-				_, err := e.Generate(ctx, engine.Request{Item: base, Body: chat("1")}, func(engine.Token) error { return nil })
-				var missing *engine.NotLoaded
-				Expect(errors.As(err, &missing)).To(BeTrue())
+			It("returns NotLoaded for an item that is not loaded", func() {
+				_, err := e.Generate(ctx, engine.Request{Item: baseModel, Body: chat("1")}, func(engine.Token) error { return nil })
+				var notLoaded *engine.NotLoaded
+				Expect(errors.As(err, &notLoaded)).To(BeTrue())
 			})
 
-			It("stops generating when the caller goes", func() {
-				Expect(load(base, 60, 1)).To(Succeed())
-				short, cancel := context.WithTimeout(ctx, 50*time.Millisecond)
+			It("stops generating when the caller's context ends", func() {
+				Expect(load(baseModel, 60, 1)).To(Succeed())
+				callerCtx, cancel := context.WithTimeout(ctx, 50*time.Millisecond)
 				defer cancel()
-				_, err := e.Generate(short, engine.Request{Item: base, Body: chat("100000")}, func(engine.Token) error { return nil })
+				_, err := e.Generate(callerCtx, engine.Request{Item: baseModel, Body: chat("100000")}, func(engine.Token) error { return nil })
 				Expect(err).To(HaveOccurred())
 				Eventually(func() int { return m.Stats().Running }).Should(BeZero())
 			})
@@ -137,7 +138,7 @@
 })
 
 var _ = Describe("plain service", func() {
-	for name, open := range services() {
+	for name, newService := range services() {
 		Context(name, func() {
 			var s *shop.Shop
 			var book *shop.Book
@@ -146,7 +147,7 @@
 			BeforeEach(func() {
 				book = shop.NewBook()
 				s = shop.New("desk", book)
-				p = open(s)
+				p = newService(s)
 			})
 
 			call := func(timeout time.Duration) (plain.Answer, error) {
@@ -155,7 +156,7 @@
 				return p.Do(ctx, plain.Call{Method: http.MethodPost, Path: "/order", Body: []byte("one")})
 			}
 
-			It("makes a call once and returns the whole answer", func() {
+			It("makes a call once and returns the complete answer", func() {
 				answer, err := call(5 * time.Second)
 				Expect(err).NotTo(HaveOccurred())
 				Expect(answer.Status).To(Equal(http.StatusCreated))
@@ -163,7 +164,7 @@
 				Expect(book.Runs("one")).To(Equal(1))
 			})
 
-			It("reports a lost answer as a call that may have run", func() {
+			It("returns Lost when the answer is lost, as the call may have run", func() {
 				s.SetFaults(shop.Faults{LoseAnswers: 1})
 				_, err := call(5 * time.Second)
 				var lost *plain.Lost
@@ -171,7 +172,7 @@
 				Expect(book.Runs("one")).To(Equal(1))
 			})
 
-			It("reports a hanging call as one that may have run, at its deadline", func() {
+			It("returns Lost when a call hangs until its deadline, as the call may have run", func() {
 				s.SetFaults(shop.Faults{Hang: true})
 				_, err := call(100 * time.Millisecond)
 				var lost *plain.Lost
@@ -180,20 +181,20 @@
 		})
 	}
 
-	It("reports a call that could not be sent as not sent", func() {
+	It("returns NotSent when the connection fails before the call is sent", func() {
 		c, err := plain.NewClient("http://127.0.0.1:1", &http.Transport{}, &http.Transport{DisableKeepAlives: true})
 		Expect(err).NotTo(HaveOccurred())
 		_, err = c.Do(context.Background(), plain.Call{Method: http.MethodPost, Path: "/"})
-		var unsent *plain.NotSent
-		Expect(errors.As(err, &unsent)).To(BeTrue())
+		var notSent *plain.NotSent
+		Expect(errors.As(err, &notSent)).To(BeTrue())
 	})
 })
 
 var _ = Describe("instance list", func() {
-	for name, open := range lists() {
-		It(name+" shows live and leaving instances after the lag", func() {
+	for name, newList := range lists() {
+		It(name+" shows an instance and its leaving mark only after the list lag", func() {
 			p := platf.NewPlatform(1, 100*time.Millisecond, nil)
-			l := open(p)
+			l := newList(p)
 			want := []fleet.Instance{{Name: "e", Role: "agent", Address: "a:1", Region: "r", Domain: "d", Leaving: true}}
 			p.SetInstances(want)
 			got, err := l.Instances(context.Background())
--- a/test/contract/contract_test.go
+++ b/test/contract/contract_test.go
@@ -1,4 +1,6 @@
-// Package contract holds one suite for each interface towards an outside system; every implementation runs it.
+// Package contract holds one conformance suite for each interface to an
+// external system (store, instance list, engine, plain service). Every
+// implementation, stand-ins included, has to pass it.
 package contract
 
 import (
@@ -30,14 +32,15 @@
 	RunSpecs(t, "contracts", suite, reporter)
 }
 
-// serve runs a stand-in's handler for one test.
+// serve starts an HTTP server with the handler for the current spec and returns its URL.
 func serve(h http.Handler) string {
 	s := httptest.NewServer(h)
 	DeferCleanup(s.Close)
 	return s.URL
 }
 
-// stores returns each implementation of the store with the memory behind it.
+// stores returns a constructor for each implementation of the store. Each
+// constructor also returns the in-memory store that holds the data.
 func stores() map[string]func() (store.Store, *platf.Memory) {
 	return map[string]func() (store.Store, *platf.Memory){
 		"memory": func() (store.Store, *platf.Memory) {
@@ -56,12 +59,14 @@
 	}
 }
 
+// lists returns a constructor for each implementation of the instance list.
 func lists() map[string]func(*platf.Platform) fleet.List {
 	return map[string]func(*platf.Platform) fleet.List{
 		"HTTP client": func(p *platf.Platform) fleet.List { return fleet.NewClient(serve(p.Handler()), &http.Transport{}) },
 	}
 }
 
+// engines returns a constructor for each implementation of the engine interface.
 func engines() map[string]func(*motor.Motor) engine.Engine {
 	return map[string]func(*motor.Motor) engine.Engine{
 		"stand-in in process": func(m *motor.Motor) engine.Engine { return m },
@@ -69,6 +74,7 @@
 	}
 }
 
+// services returns a constructor for each implementation of the plain service interface.
 func services() map[string]func(*shop.Shop) plain.Service {
 	return map[string]func(*shop.Shop) plain.Service{
 		"stand-in in process": func(s *shop.Shop) plain.Service { return s },
--- a/test/contract/store_test.go
+++ b/test/contract/store_test.go
@@ -14,26 +14,26 @@
 )
 
 var _ = Describe("store", func() {
-	for name, open := range stores() {
+	for name, newStore := range stores() {
 		Context(name, func() {
 			var s store.Store
 			var m *platf.Memory
 			var ctx context.Context
 
 			BeforeEach(func() {
-				s, m = open()
+				s, m = newStore()
 				var cancel context.CancelFunc
 				ctx, cancel = context.WithTimeout(context.Background(), 20*time.Second)
 				DeferCleanup(cancel)
 			})
 
-			put := func(key, value string, at int64) store.Result {
-				res, err := s.Commit(ctx, store.Txn{If: []store.Compare{{Key: key, Revision: at}}, Puts: []store.Put{{Key: key, Value: []byte(value)}}})
+			put := func(key, value string, revision int64) store.Result {
+				res, err := s.Commit(ctx, store.Txn{If: []store.Compare{{Key: key, Revision: revision}}, Puts: []store.Put{{Key: key, Value: []byte(value)}}})
 				Expect(err).NotTo(HaveOccurred())
 				return res
 			}
 
-			It("reads back what was written, with its revision", func() {
+			It("returns a written value with its revision", func() {
 				res := put("a/1", "x", 0)
 				kv, ok, err := s.Get(ctx, "a/1")
 				Expect(err).NotTo(HaveOccurred())
@@ -41,13 +41,13 @@
 				Expect(kv).To(Equal(store.KV{Key: "a/1", Value: []byte("x"), Revision: res.Revision}))
 			})
 
-			It("says that a missing key is missing", func() {
+			It("reports that a missing key does not exist", func() {
 				_, ok, err := s.Get(ctx, "none")
 				Expect(err).NotTo(HaveOccurred())
 				Expect(ok).To(BeFalse())
 			})
 
-			It("compares and swaps, and shows what it found", func() {
+			It("compares and swaps, and returns the conflicting entry when a comparison fails", func() {
 				first := put("k", "1", 0)
 				second := put("k", "2", 0)
 				Expect(second.Succeeded).To(BeFalse())
@@ -56,7 +56,7 @@
 				Expect(put("k", "2", first.Revision).Succeeded).To(BeTrue())
 			})
 
-			It("lists a prefix and nothing beside it, sorted", func() {
+			It("lists only the keys with the prefix, in order", func() {
 				for _, key := range []string{"p/b", "p/a", "q/a", "o"} {
 					put(key, key, 0)
 				}
@@ -66,7 +66,7 @@
 				Expect(list.KVs[0].Key).To(Equal("p/a"))
 			})
 
-			It("applies a transaction whole at one revision", func() {
+			It("applies all operations of a transaction at one revision", func() {
 				put("old", "x", 0)
 				res, err := s.Commit(ctx, store.Txn{
 					If: []store.Compare{{Key: "n1"}}, Puts: []store.Put{{Key: "n1", Value: []byte("1")}, {Key: "n2", Value: []byte("2")}}, Deletes: []string{"old"},
@@ -79,7 +79,7 @@
 				Expect(ok).To(BeFalse())
 			})
 
-			It("deletes a leased key when its lease has expired, and not while it is kept alive", func() {
+			It("deletes a leased key once its lease expires and then rejects a keep-alive", func() {
 				lease, err := s.Grant(ctx, time.Second)
 				Expect(err).NotTo(HaveOccurred())
 				_, err = s.Commit(ctx, store.Txn{Puts: []store.Put{{Key: "leased", Value: []byte("x"), Lease: lease}}})
@@ -97,7 +97,7 @@
 				_, err := s.Commit(ctx, store.Txn{Puts: []store.Put{{Key: "orphan", Value: []byte("x"), Lease: 999}}})
 				Expect(err).To(HaveOccurred())
 				var missing *fault.Missing
-				// The etcd dialect has no answer of its own for this and reports a failed call.
+				// The etcd JSON API has no error code for a missing lease, so its client reports a failed call.
 				if name != "etcd JSON client" {
 					Expect(errors.As(err, &missing)).To(BeTrue())
 				}
@@ -106,27 +106,27 @@
 				Expect(ok).To(BeFalse())
 			})
 
-			It("watches from a revision, in order, deletions included", func() {
+			It("watches the changes after a revision in order, deletions included", func() {
 				first := put("w/a", "1", 0)
 				put("w/b", "2", 0)
 				_, err := s.Commit(ctx, store.Txn{Deletes: []string{"w/a"}})
 				Expect(err).NotTo(HaveOccurred())
 				var got []store.Event
-				stop := errors.New("seen enough")
+				errStop := errors.New("stop watching")
 				err = s.Watch(ctx, "w/", first.Revision, func(b store.Batch) error {
 					got = append(got, b.Events...)
 					if len(got) < 2 {
 						return nil
 					}
-					return stop
+					return errStop
 				})
-				Expect(err).To(MatchError(stop))
+				Expect(err).To(MatchError(errStop))
 				Expect(got[0].Key).To(Equal("w/b"))
 				Expect(got[1].Key).To(Equal("w/a"))
 				Expect(got[1].Deleted).To(BeTrue())
 			})
 
-			It("reports a call that got no answer as away, unsettled for writes", func() {
+			It("returns Away for a call without an answer, marked Unsettled for a write", func() {
 				m.SetFaults(platf.Faults{Away: true})
 				_, err := s.Commit(ctx, store.Txn{Puts: []store.Put{{Key: "x"}}})
 				var away *fault.Away
@@ -136,7 +136,7 @@
 				Expect(errors.As(err, &away)).To(BeTrue())
 			})
 
-			It("settles a write whose answer is lost", func() {
+			It("finds out the result of a write whose answer is lost", func() {
 				m.SetFaults(platf.Faults{LoseAnswers: 0.8})
 				res, err := store.Settle(ctx, s, store.Txn{If: []store.Compare{{Key: "k"}}, Puts: []store.Put{{Key: "k", Value: []byte("1")}, {Key: "witness"}}}, "witness")
 				Expect(err).NotTo(HaveOccurred())
@@ -147,7 +147,7 @@
 				Expect(kv.Revision).To(Equal(res.Revision))
 			})
 
-			It("counts its calls", func() {
+			It("counts reads and writes", func() {
 				before := m.Calls()
 				put("c", "1", 0)
 				_, _, err := s.Get(ctx, "c")
