--- a/test/draws/doc.go
+++ b/test/draws/doc.go
@@ -1,2 +1,3 @@
-// Package draws fixes the seed of property tests, so that they give the same verdict on every run.
+// Package draws fixes the random seed of property tests, so that a run can be
+// repeated with the same generated values.
 package draws
--- a/test/draws/draws.go
+++ b/test/draws/draws.go
@@ -8,34 +8,35 @@
 	"testing"
 )
 
-// variable is the environment variable that names another seed.
-const variable = "FOXTAILCROFT_SEED"
+// seedVariable is the environment variable that overrides defaultSeed.
+const seedVariable = "FOXTAILCROFT_SEED"
 
 const defaultSeed = 20261204
 
-// Seed returns the seed of this run.
+// Seed returns the seed from FOXTAILCROFT_SEED, or the default seed if the
+// variable is unset or not a number.
 func Seed() uint64 {
-	n, err := strconv.ParseUint(os.Getenv(variable), 10, 64)
+	n, err := strconv.ParseUint(os.Getenv(seedVariable), 10, 64)
 	if err != nil {
 		return defaultSeed
 	}
 	return n
 }
 
-// Main runs a package's tests with rapid's draws fixed by the seed and its
-// number of checks, unless flags say otherwise.
+// Main runs a package's tests and exits. It sets the seed and the number of
+// checks of rapid, unless the command line sets these flags, and prints the seed.
 func Main(m *testing.M, checks int) {
 	flag.Parse()
-	set := map[string]bool{}
-	flag.Visit(func(f *flag.Flag) { set[f.Name] = true })
+	givenFlags := map[string]bool{}
+	flag.Visit(func(f *flag.Flag) { givenFlags[f.Name] = true })
 	for name, value := range map[string]string{"rapid.seed": fmt.Sprint(Seed()), "rapid.checks": fmt.Sprint(checks), "rapid.nofailfile": "true"} {
-		if flag.Lookup(name) == nil || set[name] {
+		if flag.Lookup(name) == nil || givenFlags[name] {
 			continue
 		}
 		if err := flag.Set(name, value); err != nil {
 			panic(err)
 		}
 	}
-	fmt.Printf("%s=%d\n", variable, Seed())
+	fmt.Printf("%s=%d\n", seedVariable, Seed())
 	os.Exit(m.Run())
 }
--- a/test/pipes/doc.go
+++ b/test/pipes/doc.go
@@ -1,2 +1,3 @@
-// Package pipes is a network in memory for tests in virtual time.
+// Package pipes provides an in-memory network of net.Pipe connections for
+// tests and simulations that run in virtual time.
 package pipes
--- a/test/pipes/pipes.go
+++ b/test/pipes/pipes.go
@@ -12,37 +12,38 @@
 
 // Network connects dialers with listeners by address.
 type Network struct {
-	mu        sync.Mutex
-	listeners map[string]*listener
-	cut       map[string]bool
-	group     conc.WaitGroup
-	closes    []func()
+	mu          sync.Mutex
+	listeners   map[string]*listener
+	unreachable map[string]bool
+	servers     conc.WaitGroup
+	stopFuncs   []func()
 }
 
 // New returns a network without listeners.
 func New() *Network {
-	return &Network{listeners: map[string]*listener{}, cut: map[string]bool{}}
+	return &Network{listeners: map[string]*listener{}, unreachable: map[string]bool{}}
 }
 
 var errRefused = errors.New("connection refused")
 
-// Dial connects to an address; without a listener the connection is refused,
-// and to a cut address it hangs until the context ends.
+// Dial connects to the listener at an address. It returns an error at once if
+// the address has no listener, and blocks until the context ends if the address
+// is cut off.
 func (n *Network) Dial(ctx context.Context, address string) (net.Conn, error) {
 	n.mu.Lock()
-	l, cut := n.listeners[address], n.cut[address]
+	l, unreachable := n.listeners[address], n.unreachable[address]
 	n.mu.Unlock()
-	if cut {
+	if unreachable {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
 	if l == nil {
 		return nil, errRefused
 	}
-	a, b := net.Pipe()
+	dialerEnd, listenerEnd := net.Pipe()
 	select {
-	case l.conns <- b:
-		return a, nil
+	case l.conns <- listenerEnd:
+		return dialerEnd, nil
 	case <-l.closed:
 		return nil, errRefused
 	case <-ctx.Done():
@@ -50,14 +51,15 @@
 	}
 }
 
-// Cut makes connections to an address hang, or lets them through again.
+// Cut makes new connections to an address hang while on is true, and lets them
+// through again when it is false. Open connections are not affected.
 func (n *Network) Cut(address string, on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut[address] = on
+	n.unreachable[address] = on
 }
 
-// Listen opens an address.
+// Listen returns a listener at an address. It replaces an older listener there.
 func (n *Network) Listen(address string) net.Listener {
 	l := &listener{address: address, conns: make(chan net.Conn), closed: make(chan struct{}), network: n}
 	n.mu.Lock()
@@ -66,27 +68,27 @@
 	return l
 }
 
-// Serve serves a handler at an address and returns the function that ends it.
+// Serve serves a handler at an address and returns the function that stops the server.
 func (n *Network) Serve(address string, h http.Handler) func() {
 	l := n.Listen(address)
 	server := &http.Server{Handler: h}
-	n.group.Go(func() {
-		// Serving ends when the server is closed.
+	n.servers.Go(func() {
+		// Serve returns an error only because the server was closed.
 		_ = server.Serve(l)
 	})
-	end := sync.OnceFunc(func() { _ = server.Close() })
+	stop := sync.OnceFunc(func() { _ = server.Close() })
 	n.mu.Lock()
-	n.closes = append(n.closes, end)
+	n.stopFuncs = append(n.stopFuncs, stop)
 	n.mu.Unlock()
-	return end
+	return stop
 }
 
-// Close ends all that Serve started.
+// Close stops all servers that Serve started and waits for them.
 func (n *Network) Close() {
-	for _, end := range n.closes {
-		end()
+	for _, stop := range n.stopFuncs {
+		stop()
 	}
-	n.group.Wait()
+	n.servers.Wait()
 }
 
 type listener struct {
@@ -107,7 +109,8 @@
 	}
 }
 
-// Close frees the address.
+// Close stops accepting connections and frees the address, unless a newer
+// listener has it. It returns nil.
 func (l *listener) Close() error {
 	l.once.Do(func() {
 		close(l.closed)
@@ -122,13 +125,13 @@
 
 // Addr returns the address.
 func (l *listener) Addr() net.Addr {
-	return address(l.address)
+	return pipeAddress(l.address)
 }
 
-type address string
+type pipeAddress string
 
-// Network names the kind of network.
-func (address) Network() string { return "pipe" }
+// Network returns "pipe".
+func (pipeAddress) Network() string { return "pipe" }
 
-// String returns the address itself.
-func (a address) String() string { return string(a) }
+// String returns the address as a string.
+func (a pipeAddress) String() string { return string(a) }
