--- a/test/scale/lease_test.go
+++ b/test/scale/lease_test.go
@@ -7,37 +7,40 @@
 	"time"
 )
 
-// delay draws a message's delay: some milliseconds, and now and then a stall.
-func delay(rnd *rand.Rand, stalls float64) time.Duration {
+// messageDelay draws the delay of one message: 5 ms on average, and in a
+// stallShare of the messages a stall of 2 s on average besides.
+func messageDelay(rnd *rand.Rand, stallShare float64) time.Duration {
 	d := time.Duration(rnd.ExpFloat64() * float64(5*time.Millisecond))
-	if rnd.Float64() < stalls {
+	if rnd.Float64() < stallShare {
 		d += time.Duration(rnd.ExpFloat64() * float64(2*time.Second))
 	}
 	return d
 }
 
-// detection is the longest time in which either form may notice a relay that has died.
-const detection = 4 * time.Second
+// detectionTime bounds the time in which either protocol detects a dead relay.
+const detectionTime = 4 * time.Second
 
-// plainForm plays n long polls: each is given up, and the relay with it, when
-// its reply comes a second later than the three that the relay may wait.
-func plainForm(rnd *rand.Rand, stalls float64, n int) (falseExpiries int, messages float64) {
+// simulateLongPolls simulates n long polls, in which the relay may hold its
+// reply for three seconds. The follower gives up the relay when the reply is
+// more than one second later than that.
+func simulateLongPolls(rnd *rand.Rand, stallShare float64, n int) (falseExpiries int, messagesPerSecond float64) {
 	const timeout = time.Second
 	for range n {
-		if delay(rnd, stalls)+delay(rnd, stalls) > timeout {
+		if messageDelay(rnd, stallShare)+messageDelay(rnd, stallShare) > timeout {
 			falseExpiries++
 		}
 	}
-	return falseExpiries, 2 / (detection - timeout).Seconds()
+	return falseExpiries, 2 / (detectionTime - timeout).Seconds()
 }
 
-// leaseForm plays the paper's rule: renewals at a decided interval, a deadline
-// three intervals after the newest receipt, never moved back.
-func leaseForm(rnd *rand.Rand, stalls float64, n int) (falseExpiries int, messages float64) {
-	const interval = detection / 3
+// simulateLeases simulates n renewals under the rule of the paper: renewals at
+// a fixed interval, and a deadline three intervals after the newest receipt
+// that never moves back.
+func simulateLeases(rnd *rand.Rand, stallShare float64, n int) (falseExpiries int, messagesPerSecond float64) {
+	const interval = detectionTime / 3
 	receipts := make([]time.Duration, n)
 	for i := range receipts {
-		receipts[i] = time.Duration(i)*interval + delay(rnd, stalls)
+		receipts[i] = time.Duration(i)*interval + messageDelay(rnd, stallShare)
 	}
 	slices.Sort(receipts)
 	for i := 1; i < n; i++ {
@@ -48,31 +51,31 @@
 	return falseExpiries, 2 / interval.Seconds()
 }
 
-// BenchmarkLeaseForms compares the relays' long polls with the lease of the
-// paper on an issue of Apache ShenYu ("Add the opt-in server-issued
-// registration lease") at the same detection time.
+// BenchmarkLeaseForms counts the false expiries of the relays' long polls and of
+// a server-issued lease at the same detection time. The lease follows the paper
+// on an issue of Apache ShenYu ("Add the opt-in server-issued registration lease").
 func BenchmarkLeaseForms(b *testing.B) {
-	forms := []struct {
-		name string
-		play func(*rand.Rand, float64, int) (int, float64)
-	}{{"plain", plainForm}, {"lease", leaseForm}}
-	for _, f := range forms {
+	protocols := []struct {
+		name     string
+		simulate func(*rand.Rand, float64, int) (int, float64)
+	}{{"plain", simulateLongPolls}, {"lease", simulateLeases}}
+	for _, p := range protocols {
 		for _, stalls := range []struct {
 			name  string
 			share float64
 		}{{"stalls=1%", 0.01}, {"stalls=10%", 0.1}} {
-			b.Run(f.name+"/"+stalls.name, func(b *testing.B) {
+			b.Run(p.name+"/"+stalls.name, func(b *testing.B) {
 				const hours, seconds = 1000, 3600
 				var expiries int
-				var messages float64
+				var messagesPerSecond float64
 				for b.Loop() {
 					rnd := rand.New(rand.NewPCG(20261204, 1))
-					_, messages = f.play(rnd, 0, 1)
-					expiries, _ = f.play(rnd, stalls.share, int(hours*seconds*messages/2))
+					_, messagesPerSecond = p.simulate(rnd, 0, 1)
+					expiries, _ = p.simulate(rnd, stalls.share, int(hours*seconds*messagesPerSecond/2))
 				}
 				b.ReportMetric(float64(expiries)/hours, "false-expiries/hour")
-				b.ReportMetric(messages, "messages/s")
-				b.ReportMetric(detection.Seconds(), "detection-s")
+				b.ReportMetric(messagesPerSecond, "messages/s")
+				b.ReportMetric(detectionTime.Seconds(), "detection-s")
 			})
 		}
 	}
--- a/test/scale/planner_test.go
+++ b/test/scale/planner_test.go
@@ -18,22 +18,22 @@
 	"foxtailcroft/internal/standin/platf"
 )
 
-type noList struct{}
+type failingList struct{}
 
-func (noList) Instances(context.Context) ([]fleet.Instance, error) {
-	return nil, errors.New("no list")
+func (failingList) Instances(context.Context) ([]fleet.Instance, error) {
+	return nil, errors.New("instance list is not available")
 }
 
-func noDial(context.Context, string) (net.Conn, error) {
-	return nil, errors.New("nobody answers")
+func failingDial(context.Context, string) (net.Conn, error) {
+	return nil, errors.New("dial failed")
 }
 
-// plannerAt returns a planner over a configuration of a size; planned says whether the plans are already made.
-func plannerAt(b *testing.B, s size, planned bool) *placer.Placer {
+// newPlanner returns a planner over a configuration of a size; planned says whether the plans are already made.
+func newPlanner(b *testing.B, s deploymentSize, withPlans bool) *placer.Placer {
 	b.Helper()
 	h := view.NewHolder()
 	d := configuration(b, s)
-	if !planned {
+	if !withPlans {
 		kept := d.Entries[:0]
 		for _, e := range d.Entries {
 			if e.Key[:4] != "Plan" {
@@ -43,20 +43,20 @@
 		d.Entries = kept
 	}
 	h.Apply(d)
-	pool, closePool := peer.NewPool(noDial, peer.NewMux(), func() peer.Hello { return peer.Hello{} })
+	pool, closePool := peer.NewPool(failingDial, peer.NewMux(), func() peer.Hello { return peer.Hello{} })
 	b.Cleanup(closePool)
 	memory := platf.NewMemory(1)
 	return &placer.Placer{
-		Self: "entry", Holder: h, Store: memory, Ledger: ledger.New(memory, func(audit.Record) {}), List: noList{}, Pool: pool,
+		Self: "entry", Holder: h, Store: memory, Ledger: ledger.New(memory, func(audit.Record) {}), List: failingList{}, Pool: pool,
 		Log: zap.NewNop(), GoneAfter: time.Hour,
 	}
 }
 
-// BenchmarkPlannerIdle reports one look of the planner at a plan that needs nothing.
+// BenchmarkPlannerIdle reports the time of one planner step when no plan needs a change.
 func BenchmarkPlannerIdle(b *testing.B) {
 	for _, s := range sizes() {
 		b.Run(s.String(), func(b *testing.B) {
-			p := plannerAt(b, s, true)
+			p := newPlanner(b, s, true)
 			for b.Loop() {
 				p.Step(context.Background())
 			}
@@ -64,13 +64,14 @@
 	}
 }
 
-// BenchmarkPlannerAll reports the planning of all models at once, as after the loss of the plan.
+// BenchmarkPlannerAll reports the time to plan all models in one step, as after
+// the loss of all plans.
 func BenchmarkPlannerAll(b *testing.B) {
 	for _, s := range sizes() {
 		b.Run(s.String(), func(b *testing.B) {
 			for b.Loop() {
 				b.StopTimer()
-				p := plannerAt(b, s, false)
+				p := newPlanner(b, s, false)
 				b.StartTimer()
 				p.Step(context.Background())
 			}
@@ -79,16 +80,17 @@
 	}
 }
 
-// BenchmarkListBytes reports the platform's list of a size, which only the planner reads.
+// BenchmarkListBytes reports the size of the platform's instance list in the
+// largest deployment. Only the planner reads the list.
 func BenchmarkListBytes(b *testing.B) {
 	var list []fleet.Instance
 	for i := range 12100 {
 		n := node(i)
 		list = append(list, fleet.Instance{Name: n.Name, Role: string(n.Role), Address: n.Address, Region: n.Region, Domain: n.Domain})
 	}
-	bytes := 0
+	listBytes := 0
 	for b.Loop() {
-		bytes = len(encode(b, list))
+		listBytes = len(encode(b, list))
 	}
-	b.ReportMetric(float64(bytes)/(1<<20), "MB")
+	b.ReportMetric(float64(listBytes)/(1<<20), "MB")
 }
--- a/test/scale/scale_test.go
+++ b/test/scale/scale_test.go
@@ -1,4 +1,5 @@
-// Package scale measures the slopes that docs/CAPACITY.md is worked out from.
+// Package scale measures how memory, processor time and traffic grow with the
+// size of a deployment. docs/CAPACITY.md is computed from these figures.
 package scale
 
 import (
@@ -12,20 +13,22 @@
 	"foxtailcroft/internal/core/view"
 )
 
-// size is a deployment's size; full is the size to design for.
-type size struct {
+// deploymentSize holds the numbers of objects in a deployment.
+type deploymentSize struct {
 	models, adapters, nodes int
 }
 
-func sizes() []size {
-	return []size{{40, 80, 30}, {325, 1075, 3025}, {1300, 4300, 12100}}
+// sizes returns the measured sizes in ascending order. The last one is the
+// size that the system is designed for.
+func sizes() []deploymentSize {
+	return []deploymentSize{{40, 80, 30}, {325, 1075, 3025}, {1300, 4300, 12100}}
 }
 
-func (s size) String() string {
+func (s deploymentSize) String() string {
 	return fmt.Sprintf("models=%d,adapters=%d,nodes=%d", s.models, s.adapters, s.nodes)
 }
 
-const domains = 15
+const domainCount = 15
 
 func encode(b *testing.B, v any) json.RawMessage {
 	b.Helper()
@@ -39,7 +42,7 @@
 func node(i int) plan.Node {
 	n := plan.Node{
 		Name: fmt.Sprintf("endpoint-%05d", i), Role: plan.Agent, Address: fmt.Sprintf("10.%d.%d.%d:9100", i>>16, i>>8&255, i&255),
-		Region: fmt.Sprintf("region-%d", i%7), Domain: fmt.Sprintf("domain-%02d", i%domains), Epoch: 3, Back: plan.EngineBack, MemoryBytes: 640 << 30,
+		Region: fmt.Sprintf("region-%d", i%7), Domain: fmt.Sprintf("domain-%02d", i%domainCount), Epoch: 3, Back: plan.EngineBack, MemoryBytes: 640 << 30,
 	}
 	if i%6 == 0 {
 		n.Role, n.Back, n.MemoryBytes = plan.Entry, "", 0
@@ -50,18 +53,18 @@
 func modelPlan(i, nodes int) plan.Plan {
 	p := plan.Plan{Target: fmt.Sprintf("model-%04d", i), NextNumber: 2}
 	for s := range 2 {
-		// The slots lie on agents: every sixth node is an entry.
-		at := (i*7 + s*5 + 1) % nodes
-		if at%6 == 0 {
-			at++
+		// Slots are placed on agents only, and every sixth node is an entry.
+		agentIndex := (i*7 + s*5 + 1) % nodes
+		if agentIndex%6 == 0 {
+			agentIndex++
 		}
-		p.Slots = append(p.Slots, plan.Slot{Number: int64(s), Endpoint: fmt.Sprintf("endpoint-%05d", at), Domain: fmt.Sprintf("domain-%02d", at%domains), State: plan.Active})
+		p.Slots = append(p.Slots, plan.Slot{Number: int64(s), Endpoint: fmt.Sprintf("endpoint-%05d", agentIndex), Domain: fmt.Sprintf("domain-%02d", agentIndex%domainCount), State: plan.Active})
 	}
 	return p
 }
 
-// configuration builds a full configuration of a size.
-func configuration(b *testing.B, s size) view.Delta {
+// configuration returns the full configuration of a deployment of size s.
+func configuration(b *testing.B, s deploymentSize) view.Delta {
 	b.Helper()
 	d := view.Delta{Full: true}
 	add := func(key string, v any) {
@@ -86,7 +89,8 @@
 	return d
 }
 
-func heap() uint64 {
+// heapBytes returns the bytes of heap objects after two garbage collections.
+func heapBytes() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -94,30 +98,31 @@
 	return m.HeapAlloc
 }
 
-// BenchmarkViewMemory reports the memory of one node's configuration.
+// BenchmarkViewMemory reports the memory that one node's copy of the configuration takes.
 func BenchmarkViewMemory(b *testing.B) {
 	for _, s := range sizes() {
 		b.Run(s.String(), func(b *testing.B) {
 			d := configuration(b, s)
-			var bytes int
+			var valueBytes int
 			for _, e := range d.Entries {
-				bytes += len(e.Key) + len(e.Value)
+				valueBytes += len(e.Key) + len(e.Value)
 			}
-			before := heap()
+			heapBefore := heapBytes()
 			h := view.NewHolder()
 			for b.Loop() {
 				h = view.NewHolder()
 				h.Apply(d)
 			}
-			b.ReportMetric(float64(heap()-before)/(1<<20), "heap-MB")
-			b.ReportMetric(float64(bytes)/(1<<20), "values-MB")
+			b.ReportMetric(float64(heapBytes()-heapBefore)/(1<<20), "heap-MB")
+			b.ReportMetric(float64(valueBytes)/(1<<20), "values-MB")
 			runtime.KeepAlive(h)
 			runtime.KeepAlive(d)
 		})
 	}
 }
 
-// BenchmarkApplyChange reports the processor time of one change at a node that has everything else.
+// BenchmarkApplyChange reports the time to apply one change at a node that has
+// the full configuration.
 func BenchmarkApplyChange(b *testing.B) {
 	for _, s := range sizes() {
 		b.Run(s.String(), func(b *testing.B) {
@@ -134,7 +139,7 @@
 	}
 }
 
-// BenchmarkDelta reports the processor time and bytes of one change for one follower.
+// BenchmarkDelta reports the time to encode one change for one follower, and its bytes.
 func BenchmarkDelta(b *testing.B) {
 	for _, s := range sizes() {
 		b.Run(s.String(), func(b *testing.B) {
@@ -142,11 +147,11 @@
 			d := configuration(b, s)
 			h.Apply(d)
 			h.Apply(view.Delta{Revision: d.Revision + 1, Entries: []view.Entry{{Key: "Plan/model-0003", Value: encode(b, modelPlan(3, s.nodes)), Revision: d.Revision + 1}}})
-			bytes := 0
+			deltaBytes := 0
 			for b.Loop() {
-				bytes = len(encode(b, h.View().Since(d.Revision)))
+				deltaBytes = len(encode(b, h.View().Since(d.Revision)))
 			}
-			b.ReportMetric(float64(bytes), "bytes")
+			b.ReportMetric(float64(deltaBytes), "bytes")
 		})
 	}
 }
