--- a/test/procs/procs_test.go
+++ b/test/procs/procs_test.go
@@ -1,6 +1,7 @@
 //go:build process
 
-// Package procs runs the path as separate processes, each on its own port, and kills one of each role in mid-request.
+// Package procs runs entries, agents and stand-ins as separate processes and
+// kills, pauses or drains a process of each role while requests are in flight.
 package procs
 
 import (
@@ -35,18 +36,18 @@
 
 const (
 	startTimeout = 30 * time.Second
-	poll         = 100 * time.Millisecond
+	pollInterval = 100 * time.Millisecond
 )
 
-// deployment is a set of processes of the built program.
+// deployment holds the running processes of the built program and their ports.
 type deployment struct {
 	binary, dir string
 	ports       map[string]int
 	mu          sync.Mutex
-	running     map[string]*exec.Cmd
+	processes   map[string]*exec.Cmd
 }
 
-// port returns a free loopback port under a name.
+// port returns the loopback port of a name. It picks a free one at the first call.
 func (d *deployment) port(name string) int {
 	if p, ok := d.ports[name]; ok {
 		return p
@@ -58,11 +59,12 @@
 	return d.ports[name]
 }
 
+// address returns the loopback address of a name.
 func (d *deployment) address(name string) string {
 	return fmt.Sprintf("127.0.0.1:%d", d.port(name))
 }
 
-// start runs the program with a settings file.
+// start starts a process with the settings in a file of its own.
 func (d *deployment) start(name, settings string, args ...string) {
 	file := filepath.Join(d.dir, name+".yaml")
 	Expect(os.WriteFile(file, []byte(settings), 0o600)).To(Succeed())
@@ -71,56 +73,57 @@
 	Expect(cmd.Start()).To(Succeed())
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.running[name] = cmd
+	d.processes[name] = cmd
 }
 
-// signal sends a signal to one of the processes.
+// signal sends a signal to the process with the name.
 func (d *deployment) signal(name string, s syscall.Signal) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	Expect(d.running[name].Process.Signal(s)).To(Succeed())
+	Expect(d.processes[name].Process.Signal(s)).To(Succeed())
 }
 
-// stop kills a process and waits for its end.
-func (d *deployment) stop(name string) {
+// kill kills a process and waits for its exit.
+func (d *deployment) kill(name string) {
 	d.mu.Lock()
-	cmd := d.running[name]
-	delete(d.running, name)
+	cmd := d.processes[name]
+	delete(d.processes, name)
 	d.mu.Unlock()
 	_ = cmd.Process.Kill()
 	_ = cmd.Wait()
 }
 
-// awaitExit waits for a process that was told to leave to end without an error.
+// awaitExit waits for a process that has got SIGTERM, and fails unless it exits with status 0.
 func (d *deployment) awaitExit(name string) {
 	d.mu.Lock()
-	cmd := d.running[name]
-	delete(d.running, name)
+	cmd := d.processes[name]
+	delete(d.processes, name)
 	d.mu.Unlock()
-	ended := make(chan error, 1)
+	exited := make(chan error, 1)
 	var g conc.WaitGroup
-	g.Go(func() { ended <- cmd.Wait() })
-	Eventually(ended, startTimeout, poll).Should(Receive(Succeed()))
+	g.Go(func() { exited <- cmd.Wait() })
+	Eventually(exited, startTimeout, pollInterval).Should(Receive(Succeed()))
 }
 
-func (d *deployment) stopAll() {
-	for name := range d.running {
-		d.stop(name)
+func (d *deployment) killAll() {
+	for name := range d.processes {
+		d.kill(name)
 	}
 }
 
-const platformPart = `
+const platformSettings = `
 Platform: {Store: "http://%[1]s", List: "http://%[1]s", CallsPerSecond: 100}
 Log: {Level: info}
 Drain: {Notice: 200ms, Limit: 10s}
 `
 
-func (d *deployment) node(name, domain string) string {
-	return fmt.Sprintf("Node: {Name: %s, Region: here, Domain: %s}\n", name, domain) + fmt.Sprintf(platformPart, d.address("platform"))
+// nodeSettings returns the settings that entries and agents share.
+func (d *deployment) nodeSettings(name, domain string) string {
+	return fmt.Sprintf("Node: {Name: %s, Region: here, Domain: %s}\n", name, domain) + fmt.Sprintf(platformSettings, d.address("platform"))
 }
 
 func (d *deployment) startEntry(name, domain string) {
-	d.start(name, d.node(name, domain)+fmt.Sprintf("GoneAfter: 5s\nListen: {Callers: %q, Peers: %q}\n", d.address(name), d.address(name+"-peer")), "entry")
+	d.start(name, d.nodeSettings(name, domain)+fmt.Sprintf("GoneAfter: 5s\nListen: {Callers: %q, Peers: %q}\n", d.address(name), d.address(name+"-peer")), "entry")
 }
 
 func (d *deployment) startEngine(name string) {
@@ -129,26 +132,28 @@
 }
 
 func (d *deployment) startEngineAgent(name, domain string) {
-	d.start(name, d.node(name, domain)+fmt.Sprintf("Listen: {Peers: %q, Metrics: %q}\nEngine: {URL: \"http://%s\", MemoryBytes: 64000, ChecksFence: true, ReportLag: 100ms}\n",
+	d.start(name, d.nodeSettings(name, domain)+fmt.Sprintf("Listen: {Peers: %q, Metrics: %q}\nEngine: {URL: \"http://%s\", MemoryBytes: 64000, ChecksFence: true, ReportLag: 100ms}\n",
 		d.address(name), d.address(name+"-metrics"), d.address("standin-"+name)), "agent")
 }
 
 func (d *deployment) startService(name, domain string) {
 	d.start("standin-"+name, fmt.Sprintf("Listen: %q\nName: bookings\n", d.address("standin-"+name)), "standin", "service")
-	d.start(name, d.node(name, domain)+fmt.Sprintf("Listen: {Peers: %q, Metrics: %q}\nService: {Name: bookings, URL: \"http://%s\"}\n",
+	d.start(name, d.nodeSettings(name, domain)+fmt.Sprintf("Listen: {Peers: %q, Metrics: %q}\nService: {Name: bookings, URL: \"http://%s\"}\n",
 		d.address(name), d.address(name+"-metrics"), d.address("standin-"+name)), "agent")
 }
 
+// startAll starts the platform, two entries, two engines with their agents, and
+// a service with its agent.
 func (d *deployment) startAll() {
-	list := "Listen: " + d.address("platform") + "\nListLag: 1s\nInstances:\n"
+	settings := "Listen: " + d.address("platform") + "\nListLag: 1s\nInstances:\n"
 	for _, n := range [][3]string{{"entry-1", "entry", "a"}, {"entry-2", "entry", "b"}, {"engine-1", "agent", "a"}, {"engine-2", "agent", "b"}, {"bookings-1", "agent", "a"}} {
 		address := d.address(n[0])
 		if n[1] == "entry" {
 			address = d.address(n[0] + "-peer")
 		}
-		list += fmt.Sprintf("  - {Name: %s, Role: %s, Address: %q, Region: here, Domain: %s}\n", n[0], n[1], address, n[2])
+		settings += fmt.Sprintf("  - {Name: %s, Role: %s, Address: %q, Region: here, Domain: %s}\n", n[0], n[1], address, n[2])
 	}
-	d.start("platform", list, "standin", "platform")
+	d.start("platform", settings, "standin", "platform")
 	for i, name := range []string{"engine-1", "engine-2"} {
 		d.startEngine(name)
 		d.startEngineAgent(name, string(rune('a'+i)))
@@ -158,8 +163,8 @@
 	d.startEntry("entry-2", "b")
 }
 
-// operate runs an operator's command and returns what it prints.
-func (d *deployment) operate(args ...string) (string, error) {
+// runCommand runs an operator command against entry-2 and returns its output.
+func (d *deployment) runCommand(args ...string) (string, error) {
 	cmd := exec.Command(d.binary, append(args, "--entry", "http://"+d.address("entry-2"))...)
 	out, err := cmd.CombinedOutput()
 	return string(out), err
@@ -175,20 +180,23 @@
 Spec: {ClaimPartitions: 2, ClaimRetention: 1h}
 `
 
-func (d *deployment) apply() {
+// applyResources applies the resources and waits until the model is planned on
+// both engines, all five nodes have the configuration, and a booking succeeds.
+func (d *deployment) applyResources() {
 	file := filepath.Join(d.dir, "resources.yaml")
 	Expect(os.WriteFile(file, []byte(resources), 0o600)).To(Succeed())
-	Eventually(func() (string, error) { return d.operate("apply", "-f", file) }, startTimeout, poll).Should(ContainSubstring("Service/bookings generation"))
-	Eventually(func() (string, error) { return d.operate("get", "Model", "letter-reader") }, startTimeout, poll).Should(And(
+	Eventually(func() (string, error) { return d.runCommand("apply", "-f", file) }, startTimeout, pollInterval).Should(ContainSubstring("Service/bookings generation"))
+	Eventually(func() (string, error) { return d.runCommand("get", "Model", "letter-reader") }, startTimeout, pollInterval).Should(And(
 		ContainSubstring("engine-1"), ContainSubstring("engine-2"), MatchRegexp(`Ready\s+true`), ContainSubstring("5/5")))
-	Eventually(func() int { _, status, _ := d.book("warm", "warm-key"); return status }, startTimeout, poll).Should(Equal(http.StatusCreated))
+	Eventually(func() int { _, status, _ := d.book("warm", "warm-key"); return status }, startTimeout, pollInterval).Should(Equal(http.StatusCreated))
 }
 
 func messages(prompt string) string {
 	return fmt.Sprintf(`[{"role":"user","content":%q}]`, prompt)
 }
 
-// chat asks the model through an entry and returns the text, or the status and body of a refusal.
+// chat sends a chat request through an entry. It returns the generated text, or
+// the body of an error answer, with the status.
 func (d *deployment) chat(entry, prompt string, tokens int) (text string, status int, err error) {
 	body := fmt.Sprintf(`{"model":"letter-reader","max_tokens":%d,"messages":%s}`, tokens, messages(prompt))
 	resp, err := http.Post("http://"+d.address(entry)+"/v1/chat/completions", "application/json", strings.NewReader(body))
@@ -209,6 +217,7 @@
 	return out.Choices[0].Message.Content, resp.StatusCode, nil
 }
 
+// book posts a booking through entry-2 with an idempotency key.
 func (d *deployment) book(body, key string) (text string, status int, err error) {
 	req, err := http.NewRequest(http.MethodPost, "http://"+d.address("entry-2")+"/services/bookings/pickups", strings.NewReader(body))
 	if err != nil {
@@ -225,8 +234,8 @@
 	return string(data), resp.StatusCode, err
 }
 
-// runs returns how often the stand-in service ran a body.
-func (d *deployment) runs(body string) int {
+// runsOf returns how many times the stand-in service ran a call with the body.
+func (d *deployment) runsOf(body string) int {
 	resp, err := http.Get("http://" + d.address("standin-bookings-1") + "/stats")
 	Expect(err).NotTo(HaveOccurred())
 	defer func() { _ = resp.Body.Close() }()
@@ -235,8 +244,10 @@
 	return out[body]
 }
 
-// ask sends n long requests through an entry at once, causes a fault, and returns how many got their whole answer and the other statuses.
-func (d *deployment) ask(entry string, n int, fault func()) (whole int, others []string) {
+// chatDuringFault sends n long requests through an entry at once and causes a
+// fault 400 ms later. It returns the number of complete answers and a
+// description of each other one.
+func (d *deployment) chatDuringFault(entry string, n int, fault func()) (complete int, failures []string) {
 	var mu sync.Mutex
 	var g conc.WaitGroup
 	for i := range n {
@@ -246,21 +257,21 @@
 			mu.Lock()
 			defer mu.Unlock()
 			if text == motor.Answer([]byte(messages(prompt)), 60) {
-				whole++
+				complete++
 				return
 			}
-			others = append(others, fmt.Sprintf("%d %v %s", status, err, text))
+			failures = append(failures, fmt.Sprintf("%d %v %s", status, err, text))
 		})
 	}
 	time.Sleep(400 * time.Millisecond)
 	fault()
 	g.Wait()
-	return whole, others
+	return complete, failures
 }
 
-// holder returns the endpoint whose replica is loaded.
-func (d *deployment) holder() string {
-	out, err := d.operate("get", "Model", "letter-reader")
+// loadedEndpoint returns an endpoint with a loaded replica, or "" if there is none.
+func (d *deployment) loadedEndpoint() string {
+	out, err := d.runCommand("get", "Model", "letter-reader")
 	Expect(err).NotTo(HaveOccurred())
 	for _, line := range strings.Split(out, "\n") {
 		if f := strings.Fields(line); len(f) > 3 && f[3] == "Loaded" {
@@ -270,8 +281,8 @@
 	return ""
 }
 
-var _ = Describe("the path as separate processes", Ordered, func() {
-	d := &deployment{ports: map[string]int{}, running: map[string]*exec.Cmd{}}
+var _ = Describe("deployment of separate processes", Ordered, func() {
+	d := &deployment{ports: map[string]int{}, processes: map[string]*exec.Cmd{}}
 
 	BeforeAll(func() {
 		d.dir = GinkgoT().TempDir()
@@ -280,67 +291,67 @@
 		var out bytes.Buffer
 		build.Stdout, build.Stderr = &out, &out
 		Expect(build.Run()).To(Succeed(), out.String())
-		DeferCleanup(d.stopAll)
+		DeferCleanup(d.killAll)
 		d.startAll()
-		d.apply()
+		d.applyResources()
 	})
 
-	It("serves the same requests through both entries", func() {
+	It("answers requests completely through both entries", func() {
 		for _, entry := range []string{"entry-1", "entry-2"} {
-			whole, others := d.ask(entry, 8, func() {})
-			Expect(whole).To(Equal(8), "%v", others)
+			complete, failures := d.chatDuringFault(entry, 8, func() {})
+			Expect(complete).To(Equal(8), "%v", failures)
 		}
 	})
 
-	It("answers whole when the replica's agent is killed in mid-request", func() {
-		holder := d.holder()
-		whole, others := d.ask("entry-1", 8, func() { d.stop(holder) })
-		Expect(whole).To(Equal(8), "%v", others)
-		d.startEngineAgent(holder, string(holder[len(holder)-1]-'1'+'a'))
+	It("answers completely when the replica's agent is killed during the requests", func() {
+		endpoint := d.loadedEndpoint()
+		complete, failures := d.chatDuringFault("entry-1", 8, func() { d.kill(endpoint) })
+		Expect(complete).To(Equal(8), "%v", failures)
+		d.startEngineAgent(endpoint, string(endpoint[len(endpoint)-1]-'1'+'a'))
 	})
 
-	It("answers whole when the replica's agent is told to leave in mid-request", func() {
-		holder := ""
-		Eventually(func() string { holder = d.holder(); return holder }, startTimeout, poll).ShouldNot(BeEmpty())
-		whole, others := d.ask("entry-1", 8, func() { d.signal(holder, syscall.SIGTERM) })
-		Expect(whole).To(Equal(8), "%v", others)
-		d.awaitExit(holder)
-		d.startEngineAgent(holder, string(holder[len(holder)-1]-'1'+'a'))
+	It("answers completely when the replica's agent gets SIGTERM during the requests", func() {
+		endpoint := ""
+		Eventually(func() string { endpoint = d.loadedEndpoint(); return endpoint }, startTimeout, pollInterval).ShouldNot(BeEmpty())
+		complete, failures := d.chatDuringFault("entry-1", 8, func() { d.signal(endpoint, syscall.SIGTERM) })
+		Expect(complete).To(Equal(8), "%v", failures)
+		d.awaitExit(endpoint)
+		d.startEngineAgent(endpoint, string(endpoint[len(endpoint)-1]-'1'+'a'))
 	})
 
-	It("finishes requests in flight when an entry is told to leave", func() {
-		whole, others := d.ask("entry-1", 8, func() { d.signal("entry-1", syscall.SIGTERM) })
-		Expect(whole).To(Equal(8), "%v", others)
+	It("finishes the requests in flight when an entry gets SIGTERM", func() {
+		complete, failures := d.chatDuringFault("entry-1", 8, func() { d.signal("entry-1", syscall.SIGTERM) })
+		Expect(complete).To(Equal(8), "%v", failures)
 		d.awaitExit("entry-1")
 		d.startEntry("entry-1", "a")
 	})
 
-	It("goes on serving through the other entry when one is killed", func() {
-		whole, _ := d.ask("entry-1", 4, func() { d.stop("entry-1") })
-		Expect(whole).To(BeZero())
-		whole, others := d.ask("entry-2", 8, func() {})
-		Expect(whole).To(Equal(8), "%v", others)
+	It("serves through the other entry when one is killed", func() {
+		complete, _ := d.chatDuringFault("entry-1", 4, func() { d.kill("entry-1") })
+		Expect(complete).To(BeZero())
+		complete, failures := d.chatDuringFault("entry-2", 8, func() {})
+		Expect(complete).To(Equal(8), "%v", failures)
 	})
 
-	It("ends an agent that was paused past its successor's start and resumed", func() {
-		holder := ""
-		Eventually(func() string { holder = d.holder(); return holder }, startTimeout, poll).ShouldNot(BeEmpty())
-		d.signal(holder, syscall.SIGSTOP)
-		paused := d.running[holder]
-		delete(d.ports, holder)
-		delete(d.ports, holder+"-metrics")
-		d.startEngineAgent(holder, string(holder[len(holder)-1]-'1'+'a'))
-		whole, others := d.ask("entry-2", 8, func() { time.Sleep(4 * time.Second) })
-		Expect(whole).To(Equal(8), "%v", others)
+	It("makes a paused agent exit when it resumes after its successor has started", func() {
+		endpoint := ""
+		Eventually(func() string { endpoint = d.loadedEndpoint(); return endpoint }, startTimeout, pollInterval).ShouldNot(BeEmpty())
+		d.signal(endpoint, syscall.SIGSTOP)
+		paused := d.processes[endpoint]
+		delete(d.ports, endpoint)
+		delete(d.ports, endpoint+"-metrics")
+		d.startEngineAgent(endpoint, string(endpoint[len(endpoint)-1]-'1'+'a'))
+		complete, failures := d.chatDuringFault("entry-2", 8, func() { time.Sleep(4 * time.Second) })
+		Expect(complete).To(Equal(8), "%v", failures)
 		Expect(paused.Process.Signal(syscall.SIGCONT)).To(Succeed())
-		ended := make(chan error, 1)
+		exited := make(chan error, 1)
 		var g conc.WaitGroup
-		g.Go(func() { ended <- paused.Wait() })
-		Eventually(ended, startTimeout, poll).Should(Receive(HaveOccurred()))
-		Eventually(func() (string, error) { return d.operate("status") }, startTimeout, poll).Should(MatchRegexp(`letter-reader +2 +[12] `))
+		g.Go(func() { exited <- paused.Wait() })
+		Eventually(exited, startTimeout, pollInterval).Should(Receive(HaveOccurred()))
+		Eventually(func() (string, error) { return d.runCommand("status") }, startTimeout, pollInterval).Should(MatchRegexp(`letter-reader +2 +[12] `))
 	})
 
-	It("runs a booking once across a pause of its agent", func() {
+	It("runs a repeated booking once although its agent was paused", func() {
 		_, status, err := d.book("pickup", "key-1")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(status).To(Equal(http.StatusCreated))
@@ -351,16 +362,16 @@
 			_, _, err := d.book("pickup", "key-1")
 			Expect(err).NotTo(HaveOccurred())
 		}
-		Expect(d.runs("pickup")).To(Equal(1))
+		Expect(d.runsOf("pickup")).To(Equal(1))
 	})
 
-	It("serves and wakes while the platform is away", func() {
-		d.stop("platform")
-		whole, others := d.ask("entry-2", 8, func() {})
-		Expect(whole).To(Equal(8), "%v", others)
+	It("serves requests while the platform is down", func() {
+		d.kill("platform")
+		complete, failures := d.chatDuringFault("entry-2", 8, func() {})
+		Expect(complete).To(Equal(8), "%v", failures)
 	})
 
-	It("refuses a settings file with an unknown field, naming it", func() {
+	It("rejects a settings file with an unknown field and names file, line and field", func() {
 		file := filepath.Join(d.dir, "wrong.yaml")
 		Expect(os.WriteFile(file, []byte("Node: {Name: x, Region: r, Domain: d}\nListen:\n  Callerz: 1\n"), 0o600)).To(Succeed())
 		cmd := exec.Command(d.binary, "entry", "--config", file)
--- a/test/scale/planner_test.go
+++ b/test/scale/planner_test.go
@@ -28,7 +28,8 @@
 	return nil, errors.New("dial failed")
 }
 
-// newPlanner returns a planner over a configuration of a size; planned says whether the plans are already made.
+// newPlanner returns a planner with the configuration of a deployment of size
+// s. Without withPlans, the configuration lacks the models' plans.
 func newPlanner(b *testing.B, s deploymentSize, withPlans bool) *placer.Placer {
 	b.Helper()
 	h := view.NewHolder()
