--- a/test/soak/proxy_test.go
+++ b/test/soak/proxy_test.go
@@ -11,20 +11,21 @@
 	"github.com/sourcegraph/conc"
 )
 
-// proxy passes loopback connections on and harms them on demand.
+// proxy forwards loopback connections to a target and injects link faults.
 type proxy struct {
 	lis    net.Listener
 	target string
 	mu     sync.Mutex
-	// open are the ends of the connections that pass through.
-	open map[net.Conn]bool
-	// silent swallows all bytes, refuse closes new connections, delay holds bytes back.
-	silent bool
-	refuse bool
-	delay  time.Duration
-	// oneWay swallows only the bytes towards the caller.
-	oneWay bool
-	group  conc.WaitGroup
+	// conns holds both ends of each forwarded connection.
+	conns map[net.Conn]bool
+	// silent drops all bytes, refuseNew closes new connections, and delay is the
+	// delay before each forwarded read.
+	silent    bool
+	refuseNew bool
+	delay     time.Duration
+	// silentToCaller drops only the bytes to the caller.
+	silentToCaller bool
+	group          conc.WaitGroup
 }
 
 func newProxy(target string) (*proxy, error) {
@@ -32,7 +33,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &proxy{lis: lis, target: target, open: map[net.Conn]bool{}}
+	p := &proxy{lis: lis, target: target, conns: map[net.Conn]bool{}}
 	p.group.Go(p.accept)
 	return p, nil
 }
@@ -46,7 +47,7 @@
 			return
 		}
 		p.mu.Lock()
-		refuse := p.refuse
+		refuse := p.refuseNew
 		p.mu.Unlock()
 		if refuse {
 			_ = in.Close()
@@ -58,20 +59,21 @@
 			continue
 		}
 		p.mu.Lock()
-		p.open[in], p.open[out] = true, true
+		p.conns[in], p.conns[out] = true, true
 		p.mu.Unlock()
 		p.group.Go(func() { p.copy(out, in, false) })
 		p.group.Go(func() { p.copy(in, out, true) })
 	}
 }
 
-func (p *proxy) copy(dst, src net.Conn, back bool) {
-	defer p.end(dst, src)
+// copy forwards the bytes of one direction until an end closes.
+func (p *proxy) copy(dst, src net.Conn, toCaller bool) {
+	defer p.closeConns(dst, src)
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := src.Read(buf)
 		p.mu.Lock()
-		swallow, delay := p.silent || p.oneWay && back, p.delay
+		swallow, delay := p.silent || p.silentToCaller && toCaller, p.delay
 		p.mu.Unlock()
 		if delay > 0 {
 			time.Sleep(delay)
@@ -82,8 +84,8 @@
 			}
 		}
 		if err != nil {
-			// A swallowed end of the connection stays unseen, as behind a partition.
-			for err == io.EOF && p.swallows(back) {
+			// While bytes are dropped, the close is not forwarded either, as in a network partition.
+			for err == io.EOF && p.swallows(toCaller) {
 				time.Sleep(50 * time.Millisecond)
 			}
 			return
@@ -91,48 +93,48 @@
 	}
 }
 
-func (p *proxy) swallows(back bool) bool {
+func (p *proxy) swallows(toCaller bool) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.silent || p.oneWay && back
+	return p.silent || p.silentToCaller && toCaller
 }
 
-func (p *proxy) end(conns ...net.Conn) {
+func (p *proxy) closeConns(conns ...net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range conns {
 		_ = c.Close()
-		delete(p.open, c)
+		delete(p.conns, c)
 	}
 }
 
-// reset cuts all connections that pass through.
+// reset closes all forwarded connections, with a TCP RST.
 func (p *proxy) reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for c := range p.open {
+	for c := range p.conns {
 		if tcp, ok := c.(*net.TCPConn); ok {
 			_ = tcp.SetLinger(0)
 		}
 		_ = c.Close()
 	}
-	clear(p.open)
+	clear(p.conns)
 }
 
-// set changes what the proxy does to connections.
-func (p *proxy) set(change func(*proxy)) {
+// update changes the faults of the proxy under its lock.
+func (p *proxy) update(change func(*proxy)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	change(p)
 }
 
-func (p *proxy) heal() {
-	p.set(func(p *proxy) { p.silent, p.refuse, p.oneWay, p.delay = false, false, false, 0 })
+func (p *proxy) clearFaults() {
+	p.update(func(p *proxy) { p.silent, p.refuseNew, p.silentToCaller, p.delay = false, false, false, 0 })
 }
 
 func (p *proxy) close() {
 	_ = p.lis.Close()
-	p.heal()
+	p.clearFaults()
 	p.reset()
 	p.group.Wait()
 }
--- a/test/soak/site_test.go
+++ b/test/soak/site_test.go
@@ -24,63 +24,65 @@
 )
 
 const (
-	models      = 8
-	modelSizeMb = 70000.0
-	llmServers  = 3
-	plainOnes   = 2
-	beatEvery   = 400 * time.Millisecond
+	modelCount       = 8
+	modelSizeMb      = 70000.0
+	llmServerCount   = 3
+	plainServerCount = 2
+	announceInterval = 400 * time.Millisecond
 )
 
-// served is a stand-in server with the proxy before it.
-type served struct {
-	server *mimic.Server
-	http   *http.Server
-	proxy  *proxy
-	id     string
-	llm    bool
-	born   int64
-	gone   bool
+// standinServer is a stand-in server with the proxy in front of it.
+type standinServer struct {
+	server  *mimic.Server
+	http    *http.Server
+	proxy   *proxy
+	id      string
+	llm     bool
+	born    int64
+	stopped bool
 }
 
-// front is a process of the real program.
-type front struct {
-	name    string
-	file    string
-	callers string
-	ready   string
-	// control is the address that other fronts use.
-	control string
-	cmd     *exec.Cmd
-	store   *proxy
-	out     *os.File
+// frontProcess is a front that runs as a process of the built program, and its addresses.
+type frontProcess struct {
+	name         string
+	settingsFile string
+	callers      string
+	ready        string
+	// control is the address for calls from other fronts.
+	control    string
+	cmd        *exec.Cmd
+	storeProxy *proxy
+	logFile    *os.File
 }
 
-// deployment is one site: stand-ins in this process, fronts as processes of their own.
+// deployment is one site, with the stand-ins in this process and each front in a
+// process of its own.
 type deployment struct {
-	t       *testing.T
-	ctx     context.Context
-	dir     string
-	binary  string
-	memory  *platf.Memory
-	store   *mimic.Store
-	book    *mimic.Book
-	mu      sync.Mutex
-	servers []*served
-	fronts  []*front
-	version int
-	group   conc.WaitGroup
-	closes  []func()
+	t             *testing.T
+	ctx           context.Context
+	dir           string
+	binary        string
+	memory        *platf.Memory
+	store         *mimic.Store
+	book          *mimic.Book
+	mu            sync.Mutex
+	servers       []*standinServer
+	fronts        []*frontProcess
+	documentCount int
+	group         conc.WaitGroup
+	stopFuncs     []func()
 }
 
-func open(ctx context.Context, t *testing.T, binary, dir string, fronts int) *deployment {
+// startDeployment starts the stand-ins, and then the fronts.
+func startDeployment(ctx context.Context, t *testing.T, binary, dir string, fronts int) *deployment {
 	d := &deployment{t: t, ctx: ctx, dir: dir, binary: binary, memory: platf.NewMemory(1), book: &mimic.Book{}}
 	d.store = mimic.NewStore(d.memory)
 	address := d.serve(d.store)
-	d.configure()
-	for i := range llmServers {
+	d.writeDocument()
+	for i := range llmServerCount {
 		d.addServer(fmt.Sprintf("i-llm%d", i), true, fmt.Sprintf("m%d", 2*i), fmt.Sprintf("m%d", 2*i+1))
 	}
-	for i := range plainOnes {
+	for i := range plainServerCount {
 		d.addServer(fmt.Sprintf("i-desk%d", i), false)
 	}
 	var seeds []string
@@ -90,10 +92,10 @@
 		d.fronts = append(d.fronts, f)
 	}
 	for _, f := range d.fronts {
-		d.settings(f, seeds)
-		d.start(f)
+		d.writeSettings(f, seeds)
+		d.startFront(f)
 	}
-	d.group.Go(d.beat)
+	d.group.Go(d.announceAll)
 	return d
 }
 
@@ -105,46 +107,49 @@
 	}
 	server := &http.Server{Handler: h}
 	d.group.Go(func() { _ = server.Serve(lis) })
-	d.closes = append(d.closes, func() { _ = server.Close() })
+	d.stopFuncs = append(d.stopFuncs, func() { _ = server.Close() })
 	return lis.Addr().String()
 }
 
-// write writes past the store's faults, as operator and servers reach it otherwise.
-func (d *deployment) write(key string, value []byte) {
+// writeStore writes a key, or deletes it if value is nil. It bypasses the faults
+// of the store's HTTP interface, because operators and servers reach the store
+// by another way.
+func (d *deployment) writeStore(key string, value []byte) {
 	t := store.Txn{Puts: []store.Put{{Key: key, Value: value}}}
 	if value == nil {
 		t = store.Txn{Deletes: []string{key}}
 	}
 	if _, err := d.memory.Commit(d.ctx, t); err != nil && d.ctx.Err() == nil {
-		d.t.Errorf("write %s: %v", key, err)
+		d.t.Errorf("store write of %s failed: %v", key, err)
 	}
 }
 
-// configure writes a new version of the document; each version has a route of its own.
-func (d *deployment) configure() {
-	d.version++
-	route := func(name, kind, service string, attempts int, more string) string {
+// writeDocument writes a new version of the configuration document. Each version
+// has one route that no other version has.
+func (d *deployment) writeDocument() {
+	d.documentCount++
+	route := func(name, kind, service string, attempts int, extraFields string) string {
 		return fmt.Sprintf(`{"name":"%s","host":"h.example","pathPrefix":"/%s/","kind":"%s","timeoutMs":6000,"responseGoalMs":500,"priority":1,"service":"%s","attempts":%d%s}`,
-			name, name, kind, service, attempts, more)
+			name, name, kind, service, attempts, extraFields)
 	}
 	doc := fmt.Sprintf(`{"version":%d,"routes":[%s,%s,%s,%s,%s],"services":[{"name":"desk","health":"/health","connectionLimit":100},
 {"name":"llm","health":"/health","connectionLimit":100,"engine":{"slots":16,"weightsMb":220000,"adapterSlots":8,"loadsPerS":2,"models":[`,
-		d.version*3, route("safe", "safe", "desk", 2, ""), route("unsafe", "unsafe", "desk", 1, ""),
+		d.documentCount*3, route("safe", "safe", "desk", 2, ""), route("unsafe", "unsafe", "desk", 1, ""),
 		route("resume", "streaming", "llm", 2, `,"canResume":true,"gapTargetMs":400,"sticky":true`),
-		route("stream", "streaming", "llm", 1, `,"gapTargetMs":400,"sticky":true`), route(fmt.Sprintf("v%d", d.version), "safe", "desk", 1, ""))
-	for i := range models {
+		route("stream", "streaming", "llm", 1, `,"gapTargetMs":400,"sticky":true`), route(fmt.Sprintf("v%d", d.documentCount), "safe", "desk", 1, ""))
+	for i := range modelCount {
 		if i > 0 {
 			doc += ","
 		}
 		doc += fmt.Sprintf(`{"name":"m%d","weightsMb":%f,"loadS":0.5,"diskS":0.3,"warmS":0.2,"adapters":12,"adapterMb":60}`, i, modelSizeMb)
 	}
-	d.write("op/config", []byte(doc+`]}}],"limits":{"headerBytes":16384,"bodyBytes":1048576,"headerTimeoutMs":3000,"idleTimeoutMs":15000}}`))
+	d.writeStore("op/config", []byte(doc+`]}}],"limits":{"headerBytes":16384,"bodyBytes":1048576,"headerTimeoutMs":3000,"idleTimeoutMs":15000}}`))
 }
 
-// addServer starts a server; one with the id of an older one takes its place behind the same proxy.
-func (d *deployment) addServer(id string, llm bool, held ...string) {
+// addServer starts a stand-in server behind a new proxy and announces it.
+func (d *deployment) addServer(id string, llm bool, loadedModels ...string) {
 	sizes := map[string]float64{}
-	for i := range models {
+	for i := range modelCount {
 		sizes[fmt.Sprintf("m%d", i)] = modelSizeMb
 	}
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
@@ -159,11 +164,11 @@
 	if llm {
 		service = "llm"
 	}
-	s := &served{id: id, llm: llm, proxy: p, born: time.Now().UnixMilli()}
+	s := &standinServer{id: id, llm: llm, proxy: p, born: time.Now().UnixMilli()}
 	s.server = mimic.NewServer(mimic.Spec{
 		ID: id, Born: s.born, Service: service, Address: p.address(), Zone: "a", Slots: 16, Sizes: sizes, WeightsMb: 220000, AdapterSlots: 8,
 		LoadTime: 300 * time.Millisecond, AdapterTime: 8 * time.Millisecond, EventTime: 15 * time.Millisecond, ChecksFence: true, AdapterSizeMb: 60,
-	}, d.book, func() { d.announce(s) }, held...)
+	}, d.book, func() { d.announce(s) }, loadedModels...)
 	s.http = &http.Server{Handler: s.server}
 	d.group.Go(func() { _ = s.http.Serve(lis) })
 	d.mu.Lock()
@@ -172,20 +177,22 @@
 	d.announce(s)
 }
 
-func (d *deployment) announce(s *served) {
+// announce writes a server's announcement, unless the server has stopped.
+func (d *deployment) announce(s *standinServer) {
 	d.mu.Lock()
-	gone := s.gone
+	gone := s.stopped
 	d.mu.Unlock()
 	if !gone && d.ctx.Err() == nil {
-		d.write(s.server.Key(), s.server.Announcement())
+		d.writeStore(s.server.Key(), s.server.Announcement())
 	}
 }
 
-// beat announces the servers now and then, as they do themselves.
-func (d *deployment) beat() {
+// announceAll writes the announcements that changed or are missing, every
+// announceInterval, as real servers do.
+func (d *deployment) announceAll() {
 	for d.ctx.Err() == nil {
-		time.Sleep(beatEvery)
-		for _, s := range d.alive() {
+		time.Sleep(announceInterval)
+		for _, s := range d.liveServers() {
 			kv, ok := d.memory.Peek(s.server.Key())
 			if now := s.server.Announcement(); !ok || string(kv) != string(now) {
 				d.announce(s)
@@ -194,26 +201,27 @@
 	}
 }
 
-func (d *deployment) alive() []*served {
+// liveServers returns the servers that have not been stopped.
+func (d *deployment) liveServers() []*standinServer {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	var out []*served
+	var out []*standinServer
 	for _, s := range d.servers {
-		if !s.gone {
+		if !s.stopped {
 			out = append(out, s)
 		}
 	}
 	return out
 }
 
-// crash ends a server at once; its announcement lapses.
-func (d *deployment) crash(s *served) {
+// crashServer closes a server without a drain and deletes its announcement.
+func (d *deployment) crashServer(s *standinServer) {
 	d.mu.Lock()
-	s.gone = true
+	s.stopped = true
 	d.mu.Unlock()
 	_ = s.http.Close()
 	s.proxy.close()
-	d.write(s.server.Key(), nil)
+	d.writeStore(s.server.Key(), nil)
 }
 
 func (d *deployment) freePort() int {
@@ -225,22 +233,24 @@
 	return lis.Addr().(*net.TCPAddr).Port
 }
 
-func (d *deployment) newFront(name, storeAddress string) *front {
+// newFront prepares a front with its ports, its log file and a proxy to the store.
+func (d *deployment) newFront(name, storeAddress string) *frontProcess {
 	p, err := newProxy(storeAddress)
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	f := &front{name: name, store: p, file: filepath.Join(d.dir, name+".json")}
+	f := &frontProcess{name: name, storeProxy: p, settingsFile: filepath.Join(d.dir, name+".json")}
 	for _, address := range []*string{&f.callers, &f.ready, &f.control} {
 		*address = fmt.Sprintf("127.0.0.1:%d", d.freePort())
 	}
-	if f.out, err = os.Create(filepath.Join(d.dir, name+".log")); err != nil {
+	if f.logFile, err = os.Create(filepath.Join(d.dir, name+".log")); err != nil {
 		d.t.Fatal(err)
 	}
 	return f
 }
 
-func (d *deployment) settings(f *front, seeds []string) {
+// writeSettings writes a front's settings file.
+func (d *deployment) writeSettings(f *frontProcess, seeds []string) {
 	metrics := d.freePort()
 	data, err := json.Marshal(map[string]any{
 		"node": f.name, "role": "entry", "ipAddress": "127.0.0.1", "zone": "a", "region": "r", "seeds": seeds, "beatMs": 400,
@@ -250,27 +260,28 @@
 			"graceS": 4, "configurationMs": 2000, "leaseMs": 1500, "budgetRatio": 0.2, "budgetWindowS": 10, "budgetSlack": 58,
 			"fenceRequired": true, "ceilingWindowS": 5, "contactMs": 3000, "drainMs": 2000,
 		},
-		"platform": map[string]any{"address": f.store.address(), "ttlMinMs": 1000},
+		"platform": map[string]any{"address": f.storeProxy.address(), "ttlMinMs": 1000},
 	})
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	if err := os.WriteFile(f.file, data, 0o600); err != nil {
+	if err := os.WriteFile(f.settingsFile, data, 0o600); err != nil {
 		d.t.Fatal(err)
 	}
 }
 
-func (d *deployment) start(f *front) {
+func (d *deployment) startFront(f *frontProcess) {
 	f.cmd = exec.Command(d.binary, "front")
-	f.cmd.Env = append(os.Environ(), "FOXTAILCROFT_CONFIG="+f.file)
-	f.cmd.Stdout, f.cmd.Stderr = f.out, f.out
+	f.cmd.Env = append(os.Environ(), "FOXTAILCROFT_CONFIG="+f.settingsFile)
+	f.cmd.Stdout, f.cmd.Stderr = f.logFile, f.logFile
 	if err := f.cmd.Start(); err != nil {
 		d.t.Fatal(err)
 	}
 }
 
-// stop ends a front by a signal and waits for it; one that stays beyond its grace is killed.
-func (d *deployment) stop(f *front, s syscall.Signal) {
+// stopFront sends a signal to a front and waits for its exit. After five seconds
+// it kills the front.
+func (d *deployment) stopFront(f *frontProcess, s syscall.Signal) {
 	_ = f.cmd.Process.Signal(s)
 	_ = f.cmd.Process.Signal(syscall.SIGCONT)
 	timer := time.AfterFunc(5*time.Second, func() { _ = f.cmd.Process.Kill() })
@@ -280,16 +291,16 @@
 
 func (d *deployment) close() {
 	for _, f := range d.fronts {
-		d.stop(f, syscall.SIGKILL)
-		f.store.close()
-		_ = f.out.Close()
+		d.stopFront(f, syscall.SIGKILL)
+		f.storeProxy.close()
+		_ = f.logFile.Close()
 	}
-	for _, s := range d.alive() {
+	for _, s := range d.liveServers() {
 		_ = s.http.Close()
 		s.proxy.close()
 	}
-	for _, end := range d.closes {
-		end()
+	for _, stop := range d.stopFuncs {
+		stop()
 	}
 	d.group.Wait()
 }
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -1,8 +1,8 @@
 //go:build soak
 
-// Package soak runs the real fronts as separate processes before stand-ins of
-// the platform, injects drawn faults from outside, and checks what callers and
-// servers see:
+// Package soak runs fronts as separate processes against stand-ins of the
+// platform and the servers, injects random faults from outside, and checks the
+// answers that callers get and the calls that servers run:
 //
 //	go test -tags soak ./test/soak -seeds 50 -first 1
 package soak
@@ -25,20 +25,20 @@
 )
 
 var (
-	seeds  = flag.Int("seeds", 2, "number of seeds")
-	first  = flag.Uint64("first", 1, "first seed")
-	faults = flag.Duration("faults", 8*time.Second, "time of faults in each run")
-	fronts = flag.Int("fronts", 3, "front processes in each run")
+	seedCount  = flag.Int("seeds", 2, "number of seeds to run")
+	firstSeed  = flag.Uint64("first", 1, "first seed")
+	faultTime  = flag.Duration("faults", 8*time.Second, "duration of the fault phase of each run")
+	frontCount = flag.Int("fronts", 3, "number of front processes in each run")
 )
 
-// regressions are seeds that once failed, each with its cause.
+// regressions holds seeds that failed before, each with the cause. They always run.
 var regressions = []struct {
 	seed  uint64
 	cause string
 }{
-	{145, "a stream was resumed, the time was over during the second try, and a refusal's body followed the events that had gone out"},
-	{318, "the stand-in's store took a write under a lease that had ended, so the planner's key outlived its front"},
-	{336, "the soak gave a port to two processes"},
+	{145, "the deadline passed during the second attempt of a resumed stream, and the body of a refusal followed the events already sent"},
+	{318, "the stand-in store accepted a write under an expired lease, so the planner's key outlived its front"},
+	{336, "the soak test gave the same port to two processes"},
 }
 
 func TestSoak(t *testing.T) {
@@ -50,138 +50,140 @@
 	for _, r := range regressions {
 		all = append(all, r.seed)
 	}
-	for i := range *seeds {
-		all = append(all, *first+uint64(i))
+	for i := range *seedCount {
+		all = append(all, *firstSeed+uint64(i))
 	}
 	for _, seed := range all {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			t.Parallel()
-			play(t, binary, seed)
+			runSeed(t, binary, seed)
 		})
 	}
 }
 
 const (
-	callers = 8
-	// recovery is how long after the last fault requests must be served again.
-	recovery = 20 * time.Second
-	// lateOrders outlasts orders that are carried out late.
-	lateOrders = 2 * time.Second
+	callerCount = 8
+	// recoveryLimit bounds the time from the last fault until requests are served again.
+	recoveryLimit = 20 * time.Second
+	// lateOrderWait is long enough for the orders that a server carries out late.
+	lateOrderWait = 2 * time.Second
 )
 
-func play(t *testing.T, binary string, seed uint64) {
+// runSeed runs one deployment under load with the faults drawn from a seed.
+func runSeed(t *testing.T, binary string, seed uint64) {
 	ctx, cancel := context.WithCancel(context.Background())
 	dir := t.TempDir()
-	d := open(ctx, t, binary, dir, *fronts)
+	d := startDeployment(ctx, t, binary, dir, *frontCount)
 	defer d.close()
 	defer cancel()
-	c := newClients(d, fmt.Sprintf("s%d", seed))
+	c := newLoadGenerator(d, fmt.Sprintf("s%d", seed))
 	rnd := rand.New(rand.NewPCG(seed, 1))
-	recovered(t, c, rnd, "before the faults")
+	expectRecovery(t, c, rnd, "before the faults")
 
-	load, stopLoad := context.WithCancel(ctx)
+	loadCtx, stopLoad := context.WithCancel(ctx)
 	var group conc.WaitGroup
-	for i := range callers {
-		group.Go(func() { c.run(load, seed*100+uint64(i)) })
+	for i := range callerCount {
+		group.Go(func() { c.run(loadCtx, seed*100+uint64(i)) })
 	}
-	h := &harm{d: d, rnd: rnd}
-	end := time.Now().Add(*faults)
+	h := &faultInjector{d: d, rnd: rnd}
+	end := time.Now().Add(*faultTime)
 	for time.Now().Before(end) {
-		h.next()
+		h.injectOne()
 		time.Sleep(time.Duration(100+rnd.IntN(700)) * time.Millisecond)
 	}
-	h.heal()
+	h.endFaults()
 	group.Go(func() {
-		time.Sleep(lateOrders)
+		time.Sleep(lateOrderWait)
 		stopLoad()
 	})
 	group.Wait()
-	recovered(t, c, rnd, "after the faults")
+	expectRecovery(t, c, rnd, "after the faults")
 	for _, b := range c.check() {
 		t.Errorf("seed %d: %s", seed, b)
 	}
-	t.Logf("seed %d: faults %v, ends %v", seed, h.done, c.ends)
+	t.Logf("seed %d: injected faults %v, outcomes %v", seed, h.injected, c.outcomes)
 	if t.Failed() {
-		keep := filepath.Join("..", "..", "target", fmt.Sprintf("soak-%d", seed))
-		if out, err := exec.Command("cp", "-r", dir, keep).CombinedOutput(); err != nil {
-			t.Logf("logs not kept: %v %s", err, out)
+		keptDir := filepath.Join("..", "..", "target", fmt.Sprintf("soak-%d", seed))
+		if out, err := exec.Command("cp", "-r", dir, keptDir).CombinedOutput(); err != nil {
+			t.Logf("copying the logs failed: %v %s", err, out)
 		}
 	}
 }
 
-// recovered waits until ten requests in a row are served.
-func recovered(t *testing.T, c *clients, rnd *rand.Rand, when string) {
-	row := 0
-	for end := time.Now().Add(recovery); time.Now().Before(end) && row < 10; {
-		if c.one(context.Background(), rnd) {
-			row++
+// expectRecovery fails the test unless ten requests in a row are served within recoveryLimit.
+func expectRecovery(t *testing.T, c *loadGenerator, rnd *rand.Rand, when string) {
+	servedInRow := 0
+	for end := time.Now().Add(recoveryLimit); time.Now().Before(end) && servedInRow < 10; {
+		if c.sendOne(context.Background(), rnd) {
+			servedInRow++
 			continue
 		}
-		row = 0
+		servedInRow = 0
 		time.Sleep(100 * time.Millisecond)
 	}
-	if row < 10 {
-		t.Errorf("%s: requests are not served within %s", when, recovery)
+	if servedInRow < 10 {
+		t.Errorf("%s: no ten requests in a row served within %s", when, recoveryLimit)
 	}
 }
 
-// harm draws and injects faults.
-type harm struct {
-	d     *deployment
-	rnd   *rand.Rand
-	done  []string
-	group conc.WaitGroup
-	born  int
+// faultInjector draws random faults and injects them.
+type faultInjector struct {
+	d          *deployment
+	rnd        *rand.Rand
+	injected   []string
+	group      conc.WaitGroup
+	newServers int
 }
 
-// next injects one fault; faults overlap with those before.
-func (h *harm) next() {
-	kinds := []struct {
-		name string
-		do   func()
+// injectOne injects one random fault. It doesn't wait for the end of earlier ones.
+func (h *faultInjector) injectOne() {
+	faults := []struct {
+		name   string
+		inject func()
 	}{
-		{"kill front", func() { h.restart(syscall.SIGKILL) }},
-		{"stop front", func() { h.restart(syscall.SIGTERM) }},
-		{"pause front", h.pause},
-		{"signal front", func() { _ = h.front().cmd.Process.Signal(syscall.SIGHUP) }},
-		{"cut front from store", func() { h.harmProxy(h.front().store) }},
-		{"store rejects", h.reject},
+		{"kill front", func() { h.restartFront(syscall.SIGKILL) }},
+		{"stop front", func() { h.restartFront(syscall.SIGTERM) }},
+		{"pause front", h.pauseFront},
+		{"send SIGHUP to front", func() { _ = h.drawFront().cmd.Process.Signal(syscall.SIGHUP) }},
+		{"disturb front's link to store", func() { h.disturbLink(h.drawFront().storeProxy) }},
+		{"store rejects", h.rejectStoreCalls},
 		{"store compacts", func() { h.d.memory.Compact() }},
-		{"new document", func() { h.d.configure() }},
-		{"harm server's link", func() { h.harmProxy(h.server().proxy) }},
-		{"reset server's links", func() { h.server().proxy.reset() }},
-		{"server fails", h.spoil},
-		{"server crashes", h.crash},
-		{"server leaves", h.leave},
-		{"late orders", func() {
-			h.server().server.SetFaults(mimic.Faults{LateOrders: 2, LateBy: time.Duration(h.rnd.IntN(2000)) * time.Millisecond})
+		{"write new document", func() { h.d.writeDocument() }},
+		{"disturb server's link", func() { h.disturbLink(h.drawServer().proxy) }},
+		{"reset server's links", func() { h.drawServer().proxy.reset() }},
+		{"server answers wrongly", h.failServer},
+		{"server restarts after crash", h.restartServer},
+		{"server is replaced", h.replaceServer},
+		{"server delays orders", func() {
+			h.drawServer().server.SetFaults(mimic.Faults{LateOrders: 2, LateBy: time.Duration(h.rnd.IntN(2000)) * time.Millisecond})
 		}},
 	}
-	k := kinds[h.rnd.IntN(len(kinds))]
-	h.done = append(h.done, k.name)
-	k.do()
+	k := faults[h.rnd.IntN(len(faults))]
+	h.injected = append(h.injected, k.name)
+	k.inject()
 }
 
-func (h *harm) front() *front { return h.d.fronts[h.rnd.IntN(len(h.d.fronts))] }
+func (h *faultInjector) drawFront() *frontProcess { return h.d.fronts[h.rnd.IntN(len(h.d.fronts))] }
 
-func (h *harm) server() *served {
-	list := h.d.alive()
+func (h *faultInjector) drawServer() *standinServer {
+	list := h.d.liveServers()
 	return list[h.rnd.IntN(len(list))]
 }
 
-// for some time, at most as long as faults go on.
-func (h *harm) span() time.Duration {
+// drawDuration draws the duration of a fault, between 200 ms and 2.7 s.
+func (h *faultInjector) drawDuration() time.Duration {
 	return time.Duration(200+h.rnd.IntN(2500)) * time.Millisecond
 }
 
-func (h *harm) restart(s syscall.Signal) {
-	f := h.front()
-	h.d.stop(f, s)
-	h.d.start(f)
+func (h *faultInjector) restartFront(s syscall.Signal) {
+	f := h.drawFront()
+	h.d.stopFront(f, s)
+	h.d.startFront(f)
 }
 
-func (h *harm) pause() {
-	process, span := h.front().cmd.Process, h.span()
+// pauseFront suspends a front with SIGSTOP for a random time.
+func (h *faultInjector) pauseFront() {
+	process, span := h.drawFront().cmd.Process, h.drawDuration()
 	_ = process.Signal(syscall.SIGSTOP)
 	h.group.Go(func() {
 		time.Sleep(span)
@@ -189,75 +191,80 @@
 	})
 }
 
-func (h *harm) harmProxy(p *proxy) {
-	how, span := h.rnd.IntN(4), h.span()
-	p.set(func(p *proxy) {
-		switch how {
+// disturbLink makes a proxy drop, refuse or delay traffic for a random time.
+func (h *faultInjector) disturbLink(p *proxy) {
+	fault, span := h.rnd.IntN(4), h.drawDuration()
+	p.update(func(p *proxy) {
+		switch fault {
 		case 0:
 			p.silent = true
 		case 1:
-			p.refuse = true
+			p.refuseNew = true
 		case 2:
-			p.oneWay = true
+			p.silentToCaller = true
 		case 3:
 			p.delay = 30 * time.Millisecond
 		}
 	})
 	h.group.Go(func() {
 		time.Sleep(span)
-		p.heal()
-		if how != 3 {
+		p.clearFaults()
+		if fault != 3 {
 			p.reset()
 		}
 	})
 }
 
-func (h *harm) reject() {
+// rejectStoreCalls makes the store answer 503 or 429 for a random time.
+func (h *faultInjector) rejectStoreCalls() {
 	h.d.store.Reject([]int{503, 429}[h.rnd.IntN(2)])
-	span := h.span()
+	span := h.drawDuration()
 	h.group.Go(func() {
 		time.Sleep(span)
 		h.d.store.Reject(0)
 	})
 }
 
-func (h *harm) spoil() {
-	h.server().server.SetFaults([]mimic.Faults{
+// failServer sets a random fault on a server's answers.
+func (h *faultInjector) failServer() {
+	h.drawServer().server.SetFaults([]mimic.Faults{
 		{Lose: 5}, {Cut: 5, CutAfter: h.rnd.IntN(4)}, {Extra: true}, {Unframed: true}, {Unsigned: true}, {Shed: 20}, {Fail: 8}, {Encoded: true},
 	}[h.rnd.IntN(8)])
 }
 
-// crash ends a server; another start under the same id follows, empty.
-func (h *harm) crash() {
-	s := h.server()
-	h.d.crash(s)
+// restartServer crashes a server and starts one with the same id that has no
+// models loaded.
+func (h *faultInjector) restartServer() {
+	s := h.drawServer()
+	h.d.crashServer(s)
 	h.d.addServer(s.id, s.llm)
 }
 
-// leave lets a server drain and go; a new one comes first.
-func (h *harm) leave() {
-	s := h.server()
-	h.born++
-	h.d.addServer(fmt.Sprintf("%s-n%d", s.id, h.born), s.llm)
+// replaceServer starts a new server, and then drains an old one and stops it
+// after 1.5 s.
+func (h *faultInjector) replaceServer() {
+	s := h.drawServer()
+	h.newServers++
+	h.d.addServer(fmt.Sprintf("%s-n%d", s.id, h.newServers), s.llm)
 	s.server.Leave()
 	h.group.Go(func() {
 		time.Sleep(1500 * time.Millisecond)
-		if slices.Contains(h.d.alive(), s) {
-			h.d.crash(s)
+		if slices.Contains(h.d.liveServers(), s) {
+			h.d.crashServer(s)
 		}
 	})
 }
 
-// heal ends all faults.
-func (h *harm) heal() {
+// endFaults waits for timed faults and clears all others.
+func (h *faultInjector) endFaults() {
 	h.group.Wait()
 	h.d.store.Reject(0)
-	for _, s := range h.d.alive() {
+	for _, s := range h.d.liveServers() {
 		s.server.SetFaults(mimic.Faults{})
-		s.proxy.heal()
+		s.proxy.clearFaults()
 	}
 	for _, f := range h.d.fronts {
-		f.store.heal()
+		f.storeProxy.clearFaults()
 		_ = f.cmd.Process.Signal(syscall.SIGCONT)
 	}
 }
