--- a/test/proofs/config_test.go
+++ b/test/proofs/config_test.go
@@ -15,15 +15,17 @@
 	"foxtailcroft/internal/standin/platf"
 )
 
-// inForceWithin is the users' bound for an accepted configuration.
-const inForceWithin = 6 * time.Second
+// inForceLimit bounds the time in which an accepted configuration must reach
+// every node, as promised to users.
+const inForceLimit = 6 * time.Second
 
 func policy(price float64) kinds.Resource {
 	return kinds.Resource{Kind: kinds.Policy, Name: "p", Policy: &kinds.PolicySpec{ColdStartPrice: price}}
 }
 
-// send puts a resource once and returns the status and the accepted revision.
-func (e *entryNode) send(res kinds.Resource, ifMatch string) (int, int64) {
+// putOnce puts a resource without a retry. It returns the HTTP status and the
+// accepted revision, which is zero if the change was not accepted.
+func (e *entryNode) putOnce(res kinds.Resource, ifMatch string) (int, int64) {
 	body, err := json.Marshal(res)
 	if err != nil {
 		return 0, 0
@@ -32,7 +34,7 @@
 	if ifMatch != "" {
 		header["If-Match"] = ifMatch
 	}
-	w := e.do(http.MethodPut, "/admin/v1/"+string(res.Kind)+"/"+res.Name, string(body), header)
+	w := e.request(http.MethodPut, "/admin/v1/"+string(res.Kind)+"/"+res.Name, string(body), header)
 	var out struct{ Resource kinds.Resource }
 	if json.Unmarshal(w.Body.Bytes(), &out) != nil {
 		return w.Code, 0
@@ -40,8 +42,8 @@
 	return w.Code, out.Resource.Revision
 }
 
-// holders returns the configuration of every node by name.
-func (r *rig) holders() map[string]*view.Holder {
+// viewHolders returns the configuration holder of each live node, by node name.
+func (r *rig) viewHolders() map[string]*view.Holder {
 	out := map[string]*view.Holder{}
 	for name, e := range r.allEntries() {
 		out[name] = e.Member.Holder
@@ -52,9 +54,10 @@
 	return out
 }
 
-// behind returns a node that does not have the policy at the revision.
-func (r *rig) behind(revision int64) string {
-	for name, h := range r.holders() {
+// nodeBehind describes a node whose policy is older than the revision, or returns
+// "" if there is none.
+func (r *rig) nodeBehind(revision int64) string {
+	for name, h := range r.viewHolders() {
 		if e, ok := h.View().Entry("Policy/p"); !ok || e.Revision < revision {
 			return fmt.Sprintf("%s is behind revision %d", name, revision)
 		}
@@ -62,14 +65,15 @@
 	return ""
 }
 
-// watchReverts reports a node whose policy goes back to an older revision.
+// watchReverts records a violation whenever a node's policy goes back to an older
+// revision, until stop is closed.
 func (r *rig) watchReverts(stop chan struct{}) {
 	seen := map[*view.Holder]int64{}
 	for {
-		for name, h := range r.holders() {
+		for name, h := range r.viewHolders() {
 			e, _ := h.View().Entry("Policy/p")
 			if e.Revision < seen[h] {
-				r.breach(fmt.Sprintf("%s went back from %d to %d", name, seen[h], e.Revision))
+				r.addViolations(fmt.Sprintf("%s went back from revision %d to %d", name, seen[h], e.Revision))
 			}
 			seen[h] = e.Revision
 		}
@@ -81,26 +85,28 @@
 	}
 }
 
-// TestAcceptedConfigurationIsInForceAndStays changes a policy under faults.
+// TestAcceptedConfigurationIsInForceAndStays changes a policy during faults. It
+// checks that each accepted change reaches every node in time, and that no node
+// goes back to an older revision.
 func TestAcceptedConfigurationIsInForceAndStays(t *testing.T) {
 	cases := []struct {
-		name  string
-		fault func(r *rig)
-		mend  func(r *rig)
+		name   string
+		fault  func(r *rig)
+		repair func(r *rig)
 	}{
 		{"no fault", func(*rig) {}, nil},
-		{"write's answer lost", func(r *rig) { r.platform.Store.SetFaults(platf.Faults{LoseAnswers: 0.7}) }, nil},
-		{"a relay is dead", func(r *rig) { r.kill(r.agentNamed(r.relay()).process) }, nil},
-		{"a relay's links are silent", func(r *rig) { r.net.silence("addr-"+r.relay(), "") }, nil},
-		{"a relay is cut off from the store", func(r *rig) { r.agentNamed(r.relay()).gate.set(true) }, nil},
-		{"watches are mute for two seconds", func(r *rig) {
+		{"store loses answers to writes", func(r *rig) { r.platform.Store.SetFaults(platf.Faults{LoseAnswers: 0.7}) }, nil},
+		{"a relay is killed", func(r *rig) { r.kill(r.agentNamed(r.busyRelay()).process) }, nil},
+		{"a relay's links drop all bytes", func(r *rig) { r.net.silence("addr-"+r.busyRelay(), "") }, nil},
+		{"a relay is cut off from the store", func(r *rig) { r.agentNamed(r.busyRelay()).gate.setCut(true) }, nil},
+		{"watches deliver nothing for two seconds", func(r *rig) {
 			r.platform.Store.SetFaults(platf.Faults{MuteWatches: true})
 			r.group.Go(func() {
 				time.Sleep(2 * time.Second)
 				r.platform.Store.SetFaults(platf.Faults{})
 			})
 		}, nil},
-		{"store fails over to a state that reads old", func(r *rig) {
+		{"store fails over and serves stale reads", func(r *rig) {
 			r.group.Go(func() {
 				time.Sleep(100 * time.Millisecond)
 				r.platform.Store.SetFaults(platf.Faults{StaleBy: 3})
@@ -108,50 +114,50 @@
 				r.platform.Store.SetFaults(platf.Faults{})
 			})
 		}, nil},
-		{"a node is parted from all and comes back", func(r *rig) {
-			for name := range r.holders() {
-				r.net.part("addr-agent-7", "addr-"+name)
+		{"a node is partitioned from all others and returns", func(r *rig) {
+			for name := range r.viewHolders() {
+				r.net.partition("addr-agent-7", "addr-"+name)
 			}
-			r.agentNamed("agent-7").gate.set(true)
+			r.agentNamed("agent-7").gate.setCut(true)
 			r.forget("agent-7")
 		}, func(r *rig) {
-			for name := range r.holders() {
+			for name := range r.viewHolders() {
 				r.net.heal("addr-agent-7", "addr-"+name)
 			}
 		}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			bubble(t, func(r *rig) {
-				r.entry("entry-0", "d0")
-				r.entry("entry-1", "d1")
+			inBubble(t, func(r *rig) {
+				r.startEntry("entry-0", "d0")
+				r.startEntry("entry-1", "d1")
 				for i := range 8 {
-					r.serviceAgent(fmt.Sprintf("agent-%d", i), "d0", "s")
+					r.startServiceAgent(fmt.Sprintf("agent-%d", i), "d0", "s")
 				}
-				all := []process{}
+				processes := []process{}
 				for _, a := range r.allAgents() {
-					all = append(all, a.process)
+					processes = append(processes, a.process)
 				}
-				r.put(r.anyEntry(), policy(1))
+				r.applyAndWait(r.anyEntry(), policy(1))
 				time.Sleep(10 * time.Second)
 				stop := make(chan struct{})
 				r.group.Go(func() { r.watchReverts(stop) })
 				c.fault(r)
 				for i := range 5 {
-					status, revision := r.anyEntry().send(policy(float64(i+2)), "")
+					status, revision := r.anyEntry().putOnce(policy(float64(i+2)), "")
 					if status != http.StatusOK {
 						continue
 					}
 					accepted := time.Now()
-					r.eventually(inForceWithin, func() string { return r.behind(revision) })
+					r.eventually(inForceLimit, func() string { return r.nodeBehind(revision) })
 					t.Logf("revision %d in force everywhere after %s", revision, time.Since(accepted))
 				}
-				if c.mend != nil {
-					c.mend(r)
+				if c.repair != nil {
+					c.repair(r)
 				}
 				time.Sleep(5 * time.Second)
 				close(stop)
-				for _, p := range all {
+				for _, p := range processes {
 					if r.agentNamed(p.name) == nil {
 						p.closeAll()
 					}
@@ -161,61 +167,65 @@
 	}
 }
 
-// relay returns the agent that the other agents of d0 follow first.
-func (r *rig) relay() string {
-	best := ""
+// busyRelay returns the first agent by name that currently relays the
+// configuration to followers.
+func (r *rig) busyRelay() string {
+	first := ""
 	for name, a := range r.allAgents() {
-		if a.Member.Relay != nil && a.Member.Relay.Busy() && (best == "" || name < best) {
-			best = name
+		if a.Member.Relay != nil && a.Member.Relay.Busy() && (first == "" || name < first) {
+			first = name
 		}
 	}
-	r.g.Expect(best).NotTo(BeEmpty())
-	return best
+	r.g.Expect(first).NotTo(BeEmpty())
+	return first
 }
 
-// TestRacingOperators lets two operators change one resource from the same revision.
-func TestRacingOperators(t *testing.T) {
-	bubble(t, func(r *rig) {
-		r.entry("entry-0", "d0")
-		r.entry("entry-1", "d1")
-		r.put(r.anyEntry(), policy(1))
+// TestOnlyOneOfTwoConflictingChangesIsAccepted lets two operators change one
+// resource concurrently, both expecting the same revision.
+func TestOnlyOneOfTwoConflictingChangesIsAccepted(t *testing.T) {
+	inBubble(t, func(r *rig) {
+		r.startEntry("entry-0", "d0")
+		r.startEntry("entry-1", "d1")
+		r.applyAndWait(r.anyEntry(), policy(1))
 		e, _ := r.anyEntry().Member.Holder.View().Entry("Policy/p")
 		codes := make([]int, 2)
-		at(
-			func() { codes[0], _ = r.entryNamed("entry-0").send(policy(10), fmt.Sprint(e.Revision)) },
-			func() { codes[1], _ = r.entryNamed("entry-1").send(policy(20), fmt.Sprint(e.Revision)) },
+		runAll(
+			func() { codes[0], _ = r.entryNamed("entry-0").putOnce(policy(10), fmt.Sprint(e.Revision)) },
+			func() { codes[1], _ = r.entryNamed("entry-1").putOnce(policy(20), fmt.Sprint(e.Revision)) },
 		)
 		r.g.Expect(codes).To(ConsistOf(http.StatusOK, http.StatusConflict))
-		w := r.anyEntry().do(http.MethodGet, "/admin/v1/Audit?prefix=Policy/", "", nil)
+		w := r.anyEntry().request(http.MethodGet, "/admin/v1/Audit?prefix=Policy/", "", nil)
 		r.g.Expect(strings.Count(w.Body.String(), `"Action":"Update"`)).To(Equal(1))
 		r.g.Expect(strings.Count(w.Body.String(), `"Action":"Create"`)).To(Equal(1))
 	})
 }
 
-// TestNodeRestartsDuringAnOutage checks that a node without the store takes its configuration from its peers.
-func TestNodeRestartsDuringAnOutage(t *testing.T) {
-	bubble(t, func(r *rig) {
-		r.entry("entry-0", "d0")
-		r.engineAgent("engine-0", "d0", motorSettings())
-		r.engineAgent("engine-1", "d0", motorSettings())
-		r.put(r.anyEntry(), model("m", 20, 1), policy(3))
-		warm := ask{model: "m", prompt: "x", tokens: 3, timeout: 30 * time.Second}
+// TestNodeRestartsDuringAStoreOutage checks that a node that starts without the
+// store gets its configuration from its peers, and that the replica still loaded
+// in its engine is served without another load.
+func TestNodeRestartsDuringAStoreOutage(t *testing.T) {
+	inBubble(t, func(r *rig) {
+		r.startEntry("entry-0", "d0")
+		r.startEngineAgent("engine-0", "d0", fastEngine())
+		r.startEngineAgent("engine-1", "d0", fastEngine())
+		r.applyAndWait(r.anyEntry(), model("m", 20, 1), policy(3))
+		warm := chatRequest{model: "m", prompt: "x", tokens: 3, timeout: 30 * time.Second}
 		r.g.Expect(r.anyEntry().chat(warm).status).To(Equal(http.StatusOK))
-		holder := r.holder("m", 0)
+		holder := r.slotEndpoint("m", 0)
 		r.platform.Store.SetFaults(platf.Faults{Away: true, LoseAnswers: 0})
 		r.kill(r.agentNamed(holder).process)
 		time.Sleep(time.Second)
 		r.platform.Store.SetFaults(platf.Faults{})
-		r.restartCutOff(holder)
-		r.eventually(10*time.Second, func() string { return r.behind(1) })
-		r.g.Expect(r.anyEntry().chat(warm).status).To(Equal(http.StatusOK), "the replica that the engine holds is served")
-		r.g.Expect(r.loads()).To(Equal(1))
+		r.restartWithoutStore(holder)
+		r.eventually(10*time.Second, func() string { return r.nodeBehind(1) })
+		r.g.Expect(r.anyEntry().chat(warm).status).To(Equal(http.StatusOK), "the replica still loaded in the engine must be served")
+		r.g.Expect(r.loadCount()).To(Equal(1))
 	})
 }
 
-// restartCutOff restarts an agent that cannot reach the store.
-func (r *rig) restartCutOff(name string) {
-	r.cutOff = true
+// restartWithoutStore restarts an agent that can't reach the store.
+func (r *rig) restartWithoutStore(name string) {
+	r.startWithoutStore = true
 	r.restart(name)
-	r.cutOff = false
+	r.startWithoutStore = false
 }
--- a/test/proofs/fabric_test.go
+++ b/test/proofs/fabric_test.go
@@ -12,8 +12,9 @@
 	"foxtailcroft/internal/link/peer"
 )
 
-// fabric is an in-memory network whose links can be cut, or go silent without closing.
-type fabric struct {
+// faultyNetwork is an in-memory network. Its links can be closed, or can drop all
+// bytes without closing.
+type faultyNetwork struct {
 	mu        sync.Mutex
 	listeners map[string]*pipeListener
 	links     map[*link]struct{}
@@ -21,11 +22,11 @@
 	group     conc.WaitGroup
 }
 
-func newFabric() *fabric {
-	return &fabric{listeners: map[string]*pipeListener{}, links: map[*link]struct{}{}, blocked: map[[2]string]bool{}}
+func newFaultyNetwork() *faultyNetwork {
+	return &faultyNetwork{listeners: map[string]*pipeListener{}, links: map[*link]struct{}{}, blocked: map[[2]string]bool{}}
 }
 
-// link is one connection through the fabric.
+// link is one connection through the network.
 type link struct {
 	from, to string
 	ends     [4]net.Conn
@@ -39,7 +40,7 @@
 	}
 }
 
-// copy passes bytes on, or swallows them while the link is silent.
+// copy forwards bytes, or drops them while the link is silent.
 func (l *link) copy(dst io.Writer, src io.Reader) {
 	defer l.close()
 	buf := make([]byte, 32<<10)
@@ -65,11 +66,11 @@
 func (a pipeAddr) String() string { return string(a) }
 
 type pipeListener struct {
-	addr   string
-	conns  chan net.Conn
-	closed chan struct{}
-	once   sync.Once
-	fabric *fabric
+	addr    string
+	conns   chan net.Conn
+	closed  chan struct{}
+	once    sync.Once
+	network *faultyNetwork
 }
 
 func (l *pipeListener) Accept() (net.Conn, error) {
@@ -84,10 +85,10 @@
 func (l *pipeListener) Close() error {
 	l.once.Do(func() {
 		close(l.closed)
-		l.fabric.mu.Lock()
-		defer l.fabric.mu.Unlock()
-		if l.fabric.listeners[l.addr] == l {
-			delete(l.fabric.listeners, l.addr)
+		l.network.mu.Lock()
+		defer l.network.mu.Unlock()
+		if l.network.listeners[l.addr] == l {
+			delete(l.network.listeners, l.addr)
 		}
 	})
 	return nil
@@ -95,9 +96,9 @@
 
 func (l *pipeListener) Addr() net.Addr { return pipeAddr(l.addr) }
 
-// listen opens an address; a later process may take it over.
-func (f *fabric) listen(addr string) net.Listener {
-	l := &pipeListener{addr: addr, conns: make(chan net.Conn), closed: make(chan struct{}), fabric: f}
+// listen returns a listener at an address, and replaces an earlier listener there.
+func (f *faultyNetwork) listen(addr string) net.Listener {
+	l := &pipeListener{addr: addr, conns: make(chan net.Conn), closed: make(chan struct{}), network: f}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.listeners[addr] = l
@@ -106,8 +107,8 @@
 
 var errRefused = errors.New("connection refused")
 
-// dialer returns the dialer of the node that has the address.
-func (f *fabric) dialer(from string) peer.Dialer {
+// dialer returns the dial function of the node with the address from.
+func (f *faultyNetwork) dialer(from string) peer.Dialer {
 	return func(ctx context.Context, to string) (net.Conn, error) {
 		f.mu.Lock()
 		lis, blocked := f.listeners[to], f.blocked[[2]string{from, to}]
@@ -123,10 +124,12 @@
 	}
 }
 
-func (f *fabric) connect(ctx context.Context, from, to string, lis *pipeListener) (net.Conn, error) {
-	client, a := net.Pipe()
-	b, server := net.Pipe()
-	l := &link{from: from, to: to, ends: [4]net.Conn{client, a, b, server}}
+// connect hands the server end of a new link to the listener and returns the
+// client end.
+func (f *faultyNetwork) connect(ctx context.Context, from, to string, lis *pipeListener) (net.Conn, error) {
+	client, clientPeer := net.Pipe()
+	serverPeer, server := net.Pipe()
+	l := &link{from: from, to: to, ends: [4]net.Conn{client, clientPeer, serverPeer, server}}
 	select {
 	case lis.conns <- server:
 	case <-lis.closed:
@@ -139,9 +142,9 @@
 	f.mu.Lock()
 	f.links[l] = struct{}{}
 	f.mu.Unlock()
-	f.group.Go(func() { l.copy(b, a) })
+	f.group.Go(func() { l.copy(serverPeer, clientPeer) })
 	f.group.Go(func() {
-		l.copy(a, b)
+		l.copy(clientPeer, serverPeer)
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		delete(f.links, l)
@@ -149,8 +152,9 @@
 	return client, nil
 }
 
-// each calls fn for the links between two addresses; an empty address stands for any.
-func (f *fabric) each(a, b string, fn func(*link)) {
+// forEachLink calls fn for each open link between two addresses, in either
+// direction. An empty address matches any.
+func (f *faultyNetwork) forEachLink(a, b string, fn func(*link)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	match := func(x, y string) bool { return (a == "" || a == x) && (b == "" || b == y) }
@@ -161,33 +165,37 @@
 	}
 }
 
-// silence makes the standing links between two addresses swallow all bytes; new links work.
-func (f *fabric) silence(a, b string) {
-	f.each(a, b, func(l *link) {
+// silence makes the open links between two addresses drop all bytes. New links
+// are not affected.
+func (f *faultyNetwork) silence(a, b string) {
+	f.forEachLink(a, b, func(l *link) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		l.silent = true
 	})
 }
 
-// cut closes the standing links of an address.
-func (f *fabric) cut(a string) {
-	var cut []*link
-	f.each(a, "", func(l *link) { cut = append(cut, l) })
-	for _, l := range cut {
+// closeLinks closes all open links of an address, or all links if it is empty.
+func (f *faultyNetwork) closeLinks(a string) {
+	var toClose []*link
+	f.forEachLink(a, "", func(l *link) { toClose = append(toClose, l) })
+	for _, l := range toClose {
 		l.close()
 	}
 }
 
-// part silences standing links and holds back new ones between two addresses until heal.
-func (f *fabric) part(a, b string) {
+// partition silences the open links between two addresses and makes new
+// connections hang until heal.
+func (f *faultyNetwork) partition(a, b string) {
 	f.mu.Lock()
 	f.blocked[[2]string{a, b}], f.blocked[[2]string{b, a}] = true, true
 	f.mu.Unlock()
 	f.silence(a, b)
 }
 
-func (f *fabric) heal(a, b string) {
+// heal lets new connections between two addresses through again. Silenced links
+// stay silent.
+func (f *faultyNetwork) heal(a, b string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.blocked, [2]string{a, b})
--- a/test/proofs/history_test.go
+++ b/test/proofs/history_test.go
@@ -16,61 +16,65 @@
 	"foxtailcroft/internal/standin/platf"
 )
 
-// write is one operator's change of a policy that expects a revision.
+// write is one operator's conditional change of the policy: it applies only at the
+// expected revision.
 type write struct {
 	expected int64
 	price    float64
 }
 
-// verdict is what the operator was told: accepted at a revision, refused with the actual one, or nothing.
-type verdict struct {
-	status int
-	at     int64
+// writeResult is the answer to a write: accepted with the new revision, refused
+// with the actual one, or, with any other status, unknown.
+type writeResult struct {
+	status   int
+	revision int64
 }
 
-// register is the model of one resource under compare-and-swap: its state is the revision.
+// register is the sequential specification of a resource under compare-and-swap.
+// Its state is the revision.
 var register = porcupine.Model{
 	Init: func() any { return int64(0) },
 	Step: func(state, input, output any) (bool, any) {
-		revision, w, v := state.(int64), input.(write), output.(verdict)
+		revision, w, v := state.(int64), input.(write), output.(writeResult)
 		switch v.status {
 		case http.StatusOK:
-			return revision == w.expected && v.at > revision, v.at
+			return revision == w.expected && v.revision > revision, v.revision
 		case http.StatusConflict:
-			return revision == v.at && revision != w.expected, revision
+			return revision == v.revision && revision != w.expected, revision
 		}
 		return true, revision
 	},
 	DescribeOperation: func(input, output any) string { return fmt.Sprintf("%+v -> %+v", input, output) },
 }
 
-// sendWrite makes one change and returns what the operator was told.
-func (e *entryNode) sendWrite(w write) verdict {
+// sendWrite sends one write and returns its answer, which is zero if it can't be decoded.
+func (e *entryNode) sendWrite(w write) writeResult {
 	body, err := json.Marshal(policy(w.price))
 	if err != nil {
-		return verdict{}
+		return writeResult{}
 	}
-	rec := e.do(http.MethodPut, "/admin/v1/Policy/p", string(body), map[string]string{"If-Match": fmt.Sprint(w.expected)})
+	rec := e.request(http.MethodPut, "/admin/v1/Policy/p", string(body), map[string]string{"If-Match": fmt.Sprint(w.expected)})
 	var out struct {
 		Resource struct{ Revision int64 }
 		Actual   int64
 	}
 	if json.Unmarshal(rec.Body.Bytes(), &out) != nil {
-		return verdict{}
+		return writeResult{}
 	}
 	if rec.Code == http.StatusConflict {
-		return verdict{rec.Code, out.Actual}
+		return writeResult{rec.Code, out.Actual}
 	}
-	return verdict{rec.Code, out.Resource.Revision}
+	return writeResult{rec.Code, out.Resource.Revision}
 }
 
-// TestWritesAreLinearizable lets four operators race through two entries while
-// answers of the store are lost, and checks the history of what they were told.
+// TestWritesAreLinearizable lets four operators write concurrently through two
+// entries while the store loses answers, and checks that the history of the
+// answers is linearizable.
 func TestWritesAreLinearizable(t *testing.T) {
-	bubble(t, func(r *rig) {
+	inBubble(t, func(r *rig) {
 		n := seed(t)
-		r.entry("entry-0", "d0")
-		r.entry("entry-1", "d1")
+		r.startEntry("entry-0", "d0")
+		r.startEntry("entry-1", "d1")
 		time.Sleep(5 * time.Second)
 		r.platform.Store.SetFaults(platf.Faults{LoseAnswers: 0.4, Delay: 5 * time.Millisecond})
 		var clock atomic.Int64
@@ -87,7 +91,7 @@
 					got := r.entryNamed(fmt.Sprintf("entry-%d", rnd.IntN(2))).sendWrite(w)
 					op.Output, op.Return = got, clock.Add(1)
 					if got.status == http.StatusOK || got.status == http.StatusConflict {
-						newest.Store(max(newest.Load(), got.at))
+						newest.Store(max(newest.Load(), got.revision))
 					}
 					mu.Lock()
 					history = append(history, op)
@@ -96,11 +100,11 @@
 				}
 			})
 		}
-		at(operators...)
+		runAll(operators...)
 		r.platform.Store.SetFaults(platf.Faults{})
 		accepted := 0
 		for _, op := range history {
-			if op.Output.(verdict).status == http.StatusOK {
+			if op.Output.(writeResult).status == http.StatusOK {
 				accepted++
 			}
 		}
--- a/test/proofs/leaving_test.go
+++ b/test/proofs/leaving_test.go
@@ -11,22 +11,22 @@
 	. "github.com/onsi/gomega"
 )
 
-// noWorkAfter is when a leaving endpoint may get no new work any more.
-const noWorkAfter = 3 * time.Second
+// newWorkLimit is the time after which a leaving endpoint may get no more new work.
+const newWorkLimit = 3 * time.Second
 
-// TestLeavingEndpointGetsNoNewWork keeps requests coming while an endpoint
-// leaves, with a list that lags by thirty seconds.
+// TestLeavingEndpointGetsNoNewWork sends requests while an endpoint leaves. The
+// instance list lags by 30 seconds, so it is too slow to stop new work.
 func TestLeavingEndpointGetsNoNewWork(t *testing.T) {
 	cases := []struct {
 		name  string
 		leave func(r *rig, name string)
 	}{
-		{"by notice", func(r *rig, name string) {
+		{"after a notice", func(r *rig, name string) {
 			a := r.agentNamed(name)
 			r.group.Go(func() { a.Drain(context.Background()) })
 		}},
 		{"without notice", func(r *rig, name string) { r.kill(r.agentNamed(name).process) }},
-		{"by notice, its links silent", func(r *rig, name string) {
+		{"after a notice, and its links drop all bytes", func(r *rig, name string) {
 			a := r.agentNamed(name)
 			r.net.silence(a.addr, "")
 			r.group.Go(func() { a.Drain(context.Background()) })
@@ -34,73 +34,74 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			bubbleWithLag(t, 30*time.Second, func(r *rig) {
-				r.entry("entry-0", "d0")
-				r.entry("entry-1", "d1")
-				r.engineAgent("engine-0", "d0", motorSettings())
-				r.engineAgent("engine-1", "d1", motorSettings())
-				r.put(r.anyEntry(), model("m", 20, 2))
-				leaver := r.holder("m", 0)
-				var left time.Time
+			inBubbleWithListLag(t, 30*time.Second, func(r *rig) {
+				r.startEntry("entry-0", "d0")
+				r.startEntry("entry-1", "d1")
+				r.startEngineAgent("engine-0", "d0", fastEngine())
+				r.startEngineAgent("engine-1", "d1", fastEngine())
+				r.applyAndWait(r.anyEntry(), model("m", 20, 2))
+				leaving := r.slotEndpoint("m", 0)
+				var leftAt time.Time
 				var mu sync.Mutex
 				var fns []func()
 				for i := range 120 {
 					fns = append(fns, func() {
 						time.Sleep(time.Duration(i) * 250 * time.Millisecond)
-						got := r.entryNamed(fmt.Sprintf("entry-%d", i%2)).chat(ask{model: "m", prompt: fmt.Sprint(i), tokens: 10, timeout: 20 * time.Second})
+						got := r.entryNamed(fmt.Sprintf("entry-%d", i%2)).chat(chatRequest{model: "m", prompt: fmt.Sprint(i), tokens: 10, timeout: 20 * time.Second})
 						r.g.Expect(got.status).To(Equal(http.StatusOK), got.body)
 					})
 				}
 				generated := 0
 				fns = append(fns, func() {
 					time.Sleep(8 * time.Second)
-					r.markLeaving(leaver)
+					r.markLeaving(leaving)
 					mu.Lock()
-					left = time.Now()
+					leftAt = time.Now()
 					mu.Unlock()
-					c.leave(r, leaver)
-					time.Sleep(noWorkAfter)
-					generated = r.motors[leaver].Stats().Generated
+					c.leave(r, leaving)
+					time.Sleep(newWorkLimit)
+					generated = r.motors[leaving].Stats().Generated
 				})
-				at(fns...)
-				r.g.Expect(left.IsZero()).To(BeFalse())
-				r.g.Expect(r.motors[leaver].Stats().Generated).To(Equal(generated), "new work after %s", noWorkAfter)
+				runAll(fns...)
+				r.g.Expect(leftAt.IsZero()).To(BeFalse())
+				r.g.Expect(r.motors[leaving].Stats().Generated).To(Equal(generated), "the endpoint got new work more than %s after it left", newWorkLimit)
 			})
 		})
 	}
 }
 
-// TestGracefulShutdownCutsOffNothing drains a process with work of every sort in flight.
+// TestGracefulShutdownCutsOffNothing drains a process while chat requests, cold
+// starts and bookings are in flight, and checks that all of them are answered.
 func TestGracefulShutdownCutsOffNothing(t *testing.T) {
 	cases := []struct {
 		name  string
 		drain func(r *rig)
 	}{
 		{"entry", func(r *rig) { r.entryNamed("entry-0").Drain(context.Background()) }},
-		{"agent of the replica", func(r *rig) { r.agentNamed(r.holder("m", 0)).Drain(context.Background()) }},
+		{"agent of the replica", func(r *rig) { r.agentNamed(r.slotEndpoint("m", 0)).Drain(context.Background()) }},
 		{"agents of the service", func(r *rig) {
-			at(func() { r.agentNamed("book-0").Drain(context.Background()) }, func() { r.agentNamed("book-1").Drain(context.Background()) })
+			runAll(func() { r.agentNamed("book-0").Drain(context.Background()) }, func() { r.agentNamed("book-1").Drain(context.Background()) })
 		}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			bubble(t, func(r *rig) {
-				r.bookings()
-				r.engineAgent("engine-0", "d0", motorSettings())
-				r.put(r.anyEntry(), model("m", 20, 1), model("cold", 20, 1))
-				r.g.Expect(r.anyEntry().chat(ask{model: "m", prompt: "warm", tokens: 1, timeout: 30 * time.Second}).status).To(Equal(http.StatusOK))
+			inBubble(t, func(r *rig) {
+				r.startBookings()
+				r.startEngineAgent("engine-0", "d0", fastEngine())
+				r.applyAndWait(r.anyEntry(), model("m", 20, 1), model("cold", 20, 1))
+				r.g.Expect(r.anyEntry().chat(chatRequest{model: "m", prompt: "warm", tokens: 1, timeout: 30 * time.Second}).status).To(Equal(http.StatusOK))
 				var fns []func()
 				for i := range 12 {
-					a := ask{model: "m", prompt: fmt.Sprint(i), tokens: 100, timeout: 30 * time.Second, stream: i%2 == 0}
+					a := chatRequest{model: "m", prompt: fmt.Sprint(i), tokens: 100, timeout: 30 * time.Second, stream: i%2 == 0}
 					if i%3 == 0 {
 						a.model = "cold"
 					}
 					fns = append(fns, func() {
 						got := r.entryNamed("entry-0").chat(a)
 						r.g.Expect(got.status).To(Equal(http.StatusOK), got.body)
-						r.g.Expect(got.text).To(Equal(a.want()))
+						r.g.Expect(got.text).To(Equal(a.wantText()))
 					}, func() {
-						got := r.entryNamed("entry-0").post("book", fmt.Sprint(i), fmt.Sprint("k", i), 10*time.Second)
+						got := r.entryNamed("entry-0").book("book", fmt.Sprint(i), fmt.Sprint("k", i), 10*time.Second)
 						r.g.Expect(got.status).To(Equal(http.StatusCreated), got.body)
 					})
 				}
@@ -108,39 +109,42 @@
 					time.Sleep(20 * time.Millisecond)
 					c.drain(r)
 				})
-				at(fns...)
+				runAll(fns...)
 			})
 		})
 	}
 }
 
-// TestReadinessTurnsBeforeTheListenerCloses checks the order of an entry's leaving.
-func TestReadinessTurnsBeforeTheListenerCloses(t *testing.T) {
-	bubble(t, func(r *rig) {
-		e := r.entry("entry-0", "d0")
+// TestReadinessFailsBeforeTheListenerCloses checks that a draining entry reports
+// not ready while it still serves requests.
+func TestReadinessFailsBeforeTheListenerCloses(t *testing.T) {
+	inBubble(t, func(r *rig) {
+		e := r.startEntry("entry-0", "d0")
 		r.eventually(10*time.Second, func() string {
-			if e.do(http.MethodGet, "/readyz", "", nil).Code != http.StatusOK {
+			if e.request(http.MethodGet, "/readyz", "", nil).Code != http.StatusOK {
 				return "not ready"
 			}
 			return ""
 		})
-		at(func() { e.Drain(context.Background()) }, func() {
+		runAll(func() { e.Drain(context.Background()) }, func() {
 			time.Sleep(100 * time.Millisecond)
-			r.g.Expect(e.do(http.MethodGet, "/readyz", "", nil).Code).To(Equal(http.StatusServiceUnavailable))
-			r.g.Expect(e.do(http.MethodGet, "/v1/models", "", nil).Code).To(Equal(http.StatusOK))
+			r.g.Expect(e.request(http.MethodGet, "/readyz", "", nil).Code).To(Equal(http.StatusServiceUnavailable))
+			r.g.Expect(e.request(http.MethodGet, "/v1/models", "", nil).Code).To(Equal(http.StatusOK))
 		})
 	})
 }
 
-// TestHardLimitIsAnsweredHonestly drains an agent whose work outlasts the limit.
-func TestHardLimitIsAnsweredHonestly(t *testing.T) {
-	bubble(t, func(r *rig) {
-		r.entry("entry-0", "d0")
-		r.engineAgent("engine-0", "d0", motorSettings())
-		r.put(r.anyEntry(), model("m", 20, 1))
-		at(func() {
-			got := r.anyEntry().chat(ask{model: "m", prompt: "x", tokens: 8000, timeout: 5 * time.Minute})
-			r.g.Expect(got.code).To(BeElementOf("Draining", "EndpointLost", "EngineFailed"), got.body)
+// TestRequestCutOffAtDrainLimitIsNotReportedAsNotRun drains an agent whose
+// request runs longer than the drain limit, and checks that the answer doesn't
+// claim that the request has not run.
+func TestRequestCutOffAtDrainLimitIsNotReportedAsNotRun(t *testing.T) {
+	inBubble(t, func(r *rig) {
+		r.startEntry("entry-0", "d0")
+		r.startEngineAgent("engine-0", "d0", fastEngine())
+		r.applyAndWait(r.anyEntry(), model("m", 20, 1))
+		runAll(func() {
+			got := r.anyEntry().chat(chatRequest{model: "m", prompt: "x", tokens: 8000, timeout: 5 * time.Minute})
+			r.g.Expect(got.errorCode).To(BeElementOf("Draining", "EndpointLost", "EngineFailed"), got.body)
 			r.g.Expect(got.notRun).To(Equal("false"))
 		}, func() {
 			time.Sleep(10 * time.Second)
--- a/test/proofs/rig_test.go
+++ b/test/proofs/rig_test.go
@@ -1,4 +1,5 @@
-// Package proofs holds the tests that cause the failures the system is built for, in virtual time.
+// Package proofs tests the guarantees of the system under the failures that it is
+// built for. All nodes run in one process, in virtual time.
 package proofs
 
 import (
@@ -39,33 +40,33 @@
 
 const gigabyte = 1 << 30
 
-// seed returns the seed of this run.
+// seed logs and returns the random seed of this run.
 func seed(t *testing.T) uint64 {
 	t.Helper()
 	t.Logf("FOXTAILCROFT_SEED=%d", draws.Seed())
 	return draws.Seed()
 }
 
-// rig is a deployment in one synctest bubble.
+// rig is a deployment inside one synctest bubble.
 type rig struct {
-	t        *testing.T
-	g        *WithT
-	net      *fabric
-	platform *platf.Platform
-	lag      time.Duration
-	mu       sync.Mutex
-	entries  map[string]*entryNode
-	agents   map[string]*agentNode
-	motors   map[string]*motor.Motor
-	motorSet map[string]motor.Settings
-	books    map[string]*shop.Book
-	shops    map[string]*shop.Shop
-	list     []fleet.Instance
-	group    conc.WaitGroup
-	stop     chan struct{}
-	breaches []string
-	// cutOff starts the next nodes without a way to the store.
-	cutOff bool
+	t             *testing.T
+	g             *WithT
+	net           *faultyNetwork
+	platform      *platf.Platform
+	listLag       time.Duration
+	mu            sync.Mutex
+	entries       map[string]*entryNode
+	agents        map[string]*agentNode
+	motors        map[string]*motor.Motor
+	motorSettings map[string]motor.Settings
+	books         map[string]*shop.Book
+	shops         map[string]*shop.Shop
+	list          []fleet.Instance
+	group         conc.WaitGroup
+	stop          chan struct{}
+	violations    []string
+	// startWithoutStore cuts nodes that start from now on off from the store.
+	startWithoutStore bool
 }
 
 type process struct {
@@ -85,17 +86,17 @@
 	gate *gatedStore
 }
 
-// bubble runs a test in virtual time on a rig.
-func bubble(t *testing.T, fn func(r *rig)) {
+// inBubble runs a test with a new rig in virtual time.
+func inBubble(t *testing.T, fn func(r *rig)) {
 	t.Helper()
-	bubbleWithLag(t, time.Second, fn)
+	inBubbleWithListLag(t, time.Second, fn)
 }
 
-func bubbleWithLag(t *testing.T, listLag time.Duration, fn func(r *rig)) {
+func inBubbleWithListLag(t *testing.T, listLag time.Duration, fn func(r *rig)) {
 	t.Helper()
-	n := seed(t)
+	runSeed := seed(t)
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, n, listLag)
+		r := newRig(t, runSeed, listLag)
 		defer r.close()
 		fn(r)
 	})
@@ -103,25 +104,26 @@
 
 func newRig(t *testing.T, seed uint64, listLag time.Duration) *rig {
 	r := &rig{
-		t: t, g: NewWithT(t), net: newFabric(), platform: platf.NewPlatform(seed, listLag, nil), lag: listLag,
-		entries: map[string]*entryNode{}, agents: map[string]*agentNode{}, motors: map[string]*motor.Motor{}, motorSet: map[string]motor.Settings{},
+		t: t, g: NewWithT(t), net: newFaultyNetwork(), platform: platf.NewPlatform(seed, listLag, nil), listLag: listLag,
+		entries: map[string]*entryNode{}, agents: map[string]*agentNode{}, motors: map[string]*motor.Motor{}, motorSettings: map[string]motor.Settings{},
 		books: map[string]*shop.Book{}, shops: map[string]*shop.Shop{}, stop: make(chan struct{}),
 	}
 	r.group.Go(r.watchInvariants)
 	return r
 }
 
-// close ends everything and checks what was watched all along.
+// close ends all processes, and checks the invariants that were observed throughout
+// the test.
 func (r *rig) close() {
-	r.shut()
+	r.closeNodes()
 	for name, m := range r.motors {
 		r.g.Expect(m.Stats().Overcommits).To(BeZero(), "accelerator memory of %s was overcommitted", name)
 	}
-	r.g.Expect(r.breaches).To(BeEmpty(), "loaded replicas passed decided ones")
+	r.g.Expect(r.violations).To(BeEmpty(), "guarantees broken during the test")
 }
 
-// shut ends all processes.
-func (r *rig) shut() {
+// closeNodes ends all processes and waits for them.
+func (r *rig) closeNodes() {
 	close(r.stop)
 	r.group.Wait()
 	for _, e := range r.allEntries() {
@@ -130,24 +132,27 @@
 	for _, a := range r.allAgents() {
 		a.closeAll()
 	}
-	r.net.cut("")
+	r.net.closeLinks("")
 	r.net.group.Wait()
 }
 
-// gatedStore is a node's way to the store, which can be cut for that node alone.
+// gatedStore is one node's connection to the store, which can be cut for this node
+// alone.
 type gatedStore struct {
 	store.Store
 	mu  sync.Mutex
 	cut bool
 }
 
-func (s *gatedStore) set(cut bool) {
+func (s *gatedStore) setCut(cut bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.cut = cut
 }
 
-func (s *gatedStore) away(ctx context.Context) error {
+// awaitCutTimeout returns nil at once, unless the connection is cut. Then it blocks
+// until the call times out after 1.5 s and returns the error.
+func (s *gatedStore) awaitCutTimeout(ctx context.Context) error {
 	s.mu.Lock()
 	cut := s.cut
 	s.mu.Unlock()
@@ -161,37 +166,38 @@
 }
 
 func (s *gatedStore) Range(ctx context.Context, prefix string) (store.List, error) {
-	if err := s.away(ctx); err != nil {
+	if err := s.awaitCutTimeout(ctx); err != nil {
 		return store.List{}, err
 	}
 	return s.Store.Range(ctx, prefix)
 }
 
 func (s *gatedStore) Get(ctx context.Context, key string) (store.KV, bool, error) {
-	if err := s.away(ctx); err != nil {
+	if err := s.awaitCutTimeout(ctx); err != nil {
 		return store.KV{}, false, err
 	}
 	return s.Store.Get(ctx, key)
 }
 
 func (s *gatedStore) Commit(ctx context.Context, t store.Txn) (store.Result, error) {
-	if err := s.away(ctx); err != nil {
+	if err := s.awaitCutTimeout(ctx); err != nil {
 		return store.Result{}, err
 	}
 	return s.Store.Commit(ctx, t)
 }
 
 func (s *gatedStore) KeepAlive(ctx context.Context, id int64) (bool, error) {
-	if err := s.away(ctx); err != nil {
+	if err := s.awaitCutTimeout(ctx); err != nil {
 		return false, err
 	}
 	return s.Store.KeepAlive(ctx, id)
 }
 
-// Watch runs in windows as the HTTP client's does, so that a cut shows.
+// Watch watches in windows of three seconds, as the HTTP client does, so that a cut
+// ends the watch.
 func (s *gatedStore) Watch(ctx context.Context, prefix string, after int64, fn func(store.Batch) error) error {
 	for ctx.Err() == nil {
-		if err := s.away(ctx); err != nil {
+		if err := s.awaitCutTimeout(ctx); err != nil {
 			return err
 		}
 		window, cancel := context.WithTimeout(ctx, 3*time.Second)
@@ -214,20 +220,22 @@
 	return ctx.Err()
 }
 
-// instances is the lagging list.
-type instances struct{ *platf.Platform }
+// visibleInstances is the instance list as it is visible after the lag. Calls fail
+// while the store is away.
+type visibleInstances struct{ *platf.Platform }
 
-func (i instances) Instances(context.Context) ([]fleet.Instance, error) {
+func (i visibleInstances) Instances(context.Context) ([]fleet.Instance, error) {
 	if i.Store.Faults().Away {
 		return nil, awayError(context.Background())
 	}
 	return i.Visible(), nil
 }
 
-// options builds a node's options and lists the node.
+// options adds a node to the instance list and returns its options and its
+// connection to the store.
 func (r *rig) options(node plan.Node) (member.Options, *gatedStore) {
 	node.Address, node.Region = "addr-"+node.Name, "region"
-	r.relist(func(list []fleet.Instance) []fleet.Instance {
+	r.updateList(func(list []fleet.Instance) []fleet.Instance {
 		for _, i := range list {
 			if i.Name == node.Name {
 				return list
@@ -235,13 +243,14 @@
 		}
 		return append(list, fleet.Instance{Name: node.Name, Role: string(node.Role), Address: node.Address, Region: node.Region, Domain: node.Domain})
 	})
-	gate := &gatedStore{Store: r.platform.Store, cut: r.cutOff}
+	gate := &gatedStore{Store: r.platform.Store, cut: r.startWithoutStore}
 	return member.Options{
 		Self: node, Listener: r.net.listen(node.Address), Dial: r.net.dialer(node.Address), Store: gate,
-		List: instances{r.platform}, Meters: metrics.NewSet(), Log: logger(r.t),
+		List: visibleInstances{r.platform}, Meters: metrics.NewSet(), Log: logger(r.t),
 	}, gate
 }
 
+// logger returns a logger that prints only if FOXTAILCROFT_LOG is set.
 func logger(t *testing.T) *zap.Logger {
 	if os.Getenv("FOXTAILCROFT_LOG") == "" {
 		return zap.NewNop()
@@ -253,16 +262,18 @@
 	return log
 }
 
-// relist changes the platform's list, which shows after its lag.
-func (r *rig) relist(change func([]fleet.Instance) []fleet.Instance) {
+// updateList changes the platform's instance list. The change becomes visible after
+// the list lag.
+func (r *rig) updateList(change func([]fleet.Instance) []fleet.Instance) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.list = change(append([]fleet.Instance(nil), r.list...))
 	r.platform.SetInstances(r.list)
 }
 
-func (r *rig) unlist(name string) {
-	r.relist(func(list []fleet.Instance) []fleet.Instance {
+// removeFromList removes an instance from the platform's list.
+func (r *rig) removeFromList(name string) {
+	r.updateList(func(list []fleet.Instance) []fleet.Instance {
 		var out []fleet.Instance
 		for _, i := range list {
 			if i.Name != name {
@@ -273,8 +284,9 @@
 	})
 }
 
+// markLeaving marks an instance as leaving in the platform's list.
 func (r *rig) markLeaving(name string) {
-	r.relist(func(list []fleet.Instance) []fleet.Instance {
+	r.updateList(func(list []fleet.Instance) []fleet.Instance {
 		for i := range list {
 			list[i].Leaving = list[i].Leaving || list[i].Name == name
 		}
@@ -282,10 +294,11 @@
 	})
 }
 
-func (r *rig) entry(name, domain string) *entryNode {
+// startEntry starts an entry.
+func (r *rig) startEntry(name, domain string) *entryNode {
 	o, gate := r.options(plan.Node{Name: name, Role: plan.Entry, Domain: domain})
 	set := conf.DefaultEntry()
-	set.GoneAfter = kinds.Duration(r.lag + 5*time.Second)
+	set.GoneAfter = kinds.Duration(r.listLag + 5*time.Second)
 	e, closeEntry := entry.New(set, o)
 	tr, closeTree := tree.New(context.Background(), o.Log)
 	tr.OnClose(closeEntry)
@@ -297,22 +310,23 @@
 	return n
 }
 
-// motorSettings are those of a quick engine.
-func motorSettings() motor.Settings {
+// fastEngine returns the settings of an engine with short load times.
+func fastEngine() motor.Settings {
 	return motor.Settings{
 		MemoryBytes: 64 * gigabyte, CheckFence: true, LoadTime: 4 * time.Second, AdapterTime: 10 * time.Millisecond,
 		UnloadTime: 200 * time.Millisecond, FirstToken: 100 * time.Millisecond, TokenTime: 20 * time.Millisecond, ReportLag: 500 * time.Millisecond,
 	}
 }
 
-// engineAgent starts an agent on the named endpoint, whose engine outlives its agents.
-func (r *rig) engineAgent(name, domain string, s motor.Settings) *agentNode {
+// startEngineAgent starts an agent on the endpoint. The endpoint's engine is created
+// once and keeps running when its agents end.
+func (r *rig) startEngineAgent(name, domain string, s motor.Settings) *agentNode {
 	r.mu.Lock()
 	m := r.motors[name]
 	if m == nil {
 		m = motor.New(s)
 		r.motors[name] = m
-		r.motorSet[name] = s
+		r.motorSettings[name] = s
 	}
 	r.mu.Unlock()
 	o, gate := r.options(plan.Node{Name: name, Role: plan.Agent, Domain: domain, Back: plan.EngineBack, MemoryBytes: s.MemoryBytes})
@@ -320,10 +334,12 @@
 	set.Engine = &conf.Engine{
 		URL: "http://engine", MemoryBytes: s.MemoryBytes, ChecksFence: s.CheckFence, ReportLag: kinds.Duration(s.ReportLag), OrderTimeout: kinds.Duration(time.Minute),
 	}
-	return r.startAgent(name, set, o, gate, agent.Backs{Engine: m})
+	return r.startAgentProcess(name, set, o, gate, agent.Backs{Engine: m})
 }
 
-func (r *rig) serviceAgent(name, domain, service string) *agentNode {
+// startServiceAgent starts an agent for an endpoint of a plain service. The service
+// and its record of calls keep running when the agent ends.
+func (r *rig) startServiceAgent(name, domain, service string) *agentNode {
 	if r.books[service] == nil {
 		r.books[service] = shop.NewBook()
 	}
@@ -333,10 +349,10 @@
 	o, gate := r.options(plan.Node{Name: name, Role: plan.Agent, Domain: domain, Back: plan.ServiceBack, Service: service})
 	set := conf.DefaultAgent()
 	set.Service = &conf.Service{Name: service, URL: "http://service"}
-	return r.startAgent(name, set, o, gate, agent.Backs{Plain: r.shops[name]})
+	return r.startAgentProcess(name, set, o, gate, agent.Backs{Plain: r.shops[name]})
 }
 
-func (r *rig) startAgent(name string, set conf.Agent, o member.Options, gate *gatedStore, backs agent.Backs) *agentNode {
+func (r *rig) startAgentProcess(name string, set conf.Agent, o member.Options, gate *gatedStore, backs agent.Backs) *agentNode {
 	a, closeAgent := agent.New(set, o, backs)
 	tr, closeTree := tree.New(context.Background(), o.Log)
 	tr.OnClose(closeAgent)
@@ -348,14 +364,14 @@
 	return n
 }
 
-// entryNamed returns a live entry, or nil.
+// entryNamed returns the live entry with the name, or nil.
 func (r *rig) entryNamed(name string) *entryNode {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.entries[name]
 }
 
-// agentNamed returns a live agent, or nil.
+// agentNamed returns the live agent with the name, or nil.
 func (r *rig) agentNamed(name string) *agentNode {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -374,7 +390,7 @@
 	return maps.Clone(r.agents)
 }
 
-// forget takes a process off the books without ending it.
+// forget removes a process from the live ones without ending it.
 func (r *rig) forget(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -382,22 +398,23 @@
 	delete(r.entries, name)
 }
 
-// breach notes promises that were not kept.
-func (r *rig) breach(what ...string) {
+// addViolations records broken guarantees.
+func (r *rig) addViolations(what ...string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.breaches = append(r.breaches, what...)
+	r.violations = append(r.violations, what...)
 }
 
-// kill ends a process without a word: its connections break and it sends nothing more.
+// kill ends a process without a drain. Its connections break, and it sends nothing
+// more.
 func (r *rig) kill(p process) {
 	r.forget(p.name)
-	r.sever(p)
+	r.disconnect(p)
 }
 
-// sever breaks a process's connections and ends it.
-func (r *rig) sever(p process) {
-	r.net.cut(p.addr)
+// disconnect closes a process's connections and its listener, and ends it.
+func (r *rig) disconnect(p process) {
+	r.net.closeLinks(p.addr)
 	r.net.mu.Lock()
 	if l := r.net.listeners[p.addr]; l != nil {
 		delete(r.net.listeners, p.addr)
@@ -406,40 +423,41 @@
 	r.group.Go(p.closeAll)
 }
 
-// watchInvariants compares what engines hold with what is decided, all the time.
+// watchInvariants compares the loaded replicas with the plans every 50 ms.
 func (r *rig) watchInvariants() {
 	tick := time.NewTicker(50 * time.Millisecond)
 	defer tick.Stop()
 	for {
 		select {
 		case <-tick.C:
-			r.checkDecided()
+			r.checkReplicaCounts()
 		case <-r.stop:
 			return
 		}
 	}
 }
 
-// checkDecided compares one moment's replicas with the plan. The engines are
-// read twice, because they cannot be read at once.
-func (r *rig) checkDecided() {
+// checkReplicaCounts records a violation for each model with more loaded replicas
+// than planned slots. Engines and plans can't be read at the same instant, so the
+// check repeats until the engines are unchanged before and after it.
+func (r *rig) checkReplicaCounts() {
 	for {
-		held := r.held()
-		var over []string
+		held := r.loadedReplicas()
+		var exceeded []string
 		for model, n := range held {
-			if d := r.decided(model); n > d {
-				over = append(over, fmt.Sprintf("%s: %d loaded, %d decided", model, n, d))
+			if d := r.plannedSlots(model); n > d {
+				exceeded = append(exceeded, fmt.Sprintf("%s: %d replicas loaded, %d slots planned", model, n, d))
 			}
 		}
-		if maps.Equal(held, r.held()) {
-			r.breach(over...)
+		if maps.Equal(held, r.loadedReplicas()) {
+			r.addViolations(exceeded...)
 			return
 		}
 	}
 }
 
-// held counts the replicas of each model over all engines.
-func (r *rig) held() map[string]int {
+// loadedReplicas returns the number of loaded replicas of each model over all engines.
+func (r *rig) loadedReplicas() map[string]int {
 	held := map[string]int{}
 	r.mu.Lock()
 	for _, m := range r.motors {
@@ -453,13 +471,13 @@
 	return held
 }
 
-// decided returns the number of slots in the store's plan of a model.
-func (r *rig) decided(model string) int {
-	return len(r.plan(model).Slots)
+// plannedSlots returns the number of slots in the store's plan of a model.
+func (r *rig) plannedSlots(model string) int {
+	return len(r.storedPlan(model).Slots)
 }
 
-// plan returns a model's plan as the store has it.
-func (r *rig) plan(model string) plan.Plan {
+// storedPlan returns a model's plan from the store, or an empty plan if there is none.
+func (r *rig) storedPlan(model string) plan.Plan {
 	var p plan.Plan
 	if value, ok := r.platform.Store.Peek(store.StatePrefix + plan.ModelKey(model)); ok {
 		r.g.Expect(json.Unmarshal(value, &p)).To(Succeed())
@@ -467,8 +485,8 @@
 	return p
 }
 
-// loads sums the loads of all engines.
-func (r *rig) loads() int {
+// loadCount returns the number of loads over all engines.
+func (r *rig) loadCount() int {
 	n := 0
 	for _, m := range r.motors {
 		n += m.Stats().Loads
@@ -476,8 +494,8 @@
 	return n
 }
 
-// do sends one HTTP request to an entry and returns its answer.
-func (e *entryNode) do(method, path, body string, header map[string]string) *httptest.ResponseRecorder {
+// request sends one HTTP request to an entry and returns the recorded answer.
+func (e *entryNode) request(method, path, body string, header map[string]string) *httptest.ResponseRecorder {
 	req := httptest.NewRequest(method, path, strings.NewReader(body))
 	for k, v := range header {
 		req.Header.Set(k, v)
@@ -487,27 +505,28 @@
 	return w
 }
 
-// put applies resources through an entry and waits until their plans are made and in force.
-func (r *rig) put(e *entryNode, list ...kinds.Resource) {
+// applyAndWait puts resources through an entry and waits until every node has them
+// and their plans.
+func (r *rig) applyAndWait(e *entryNode, list ...kinds.Resource) {
 	for _, res := range list {
 		body, err := json.Marshal(res)
 		r.g.Expect(err).NotTo(HaveOccurred())
 		r.eventually(30*time.Second, func() string {
-			w := e.do(http.MethodPut, "/admin/v1/"+string(res.Kind)+"/"+res.Name, string(body), map[string]string{"X-Operator": "tester"})
+			w := e.request(http.MethodPut, "/admin/v1/"+string(res.Kind)+"/"+res.Name, string(body), map[string]string{"X-Operator": "tester"})
 			if w.Code == http.StatusOK {
 				return ""
 			}
 			return w.Body.String()
 		})
 	}
-	r.eventually(60*time.Second, func() string { return r.unplanned(list) })
+	r.eventually(60*time.Second, func() string { return r.missingFromNodes(list) })
 }
 
-// unplanned returns what a node still lacks of the resources and their plans.
-func (r *rig) unplanned(list []kinds.Resource) string {
+// missingFromNodes describes a resource or plan that a node lacks, or returns "".
+func (r *rig) missingFromNodes(list []kinds.Resource) string {
 	for _, a := range r.allAgents() {
 		if a.Slots != nil && !a.Slots.Confirmed() {
-			return a.name + " has not taken over"
+			return a.name + " has not confirmed its slots"
 		}
 		for _, res := range list {
 			if !r.inForce(a.Member, res) {
@@ -525,6 +544,7 @@
 	return ""
 }
 
+// inForce reports whether a node has a resource and a full plan for it.
 func (r *rig) inForce(m *member.Member, res kinds.Resource) bool {
 	v := m.Holder.View()
 	if _, ok := v.Entry(res.Key()); !ok {
@@ -532,14 +552,15 @@
 	}
 	switch res.Kind {
 	case kinds.Model:
-		return len(v.Plan(plan.ModelKey(res.Name)).Slots) >= min(res.Model.MaxReplicas, r.enginesOf(v.Nodes()))
+		return len(v.Plan(plan.ModelKey(res.Name)).Slots) >= min(res.Model.MaxReplicas, r.engineCount(v.Nodes()))
 	case kinds.Service:
 		return len(v.Plan(plan.ClaimKey(res.Name)).Slots) >= res.Service.Partitions()
 	}
 	return true
 }
 
-func (r *rig) enginesOf(nodes map[string]plan.Node) int {
+// engineCount returns the number of nodes with an engine, but at least one.
+func (r *rig) engineCount(nodes map[string]plan.Node) int {
 	n := 0
 	for _, node := range nodes {
 		if node.Back == plan.EngineBack {
@@ -549,19 +570,21 @@
 	return max(1, n)
 }
 
-// eventually waits in virtual time until what is missing is nothing.
+// eventually waits in virtual time until missing returns "", and fails the test
+// after the limit.
 func (r *rig) eventually(limit time.Duration, missing func() string) {
 	r.t.Helper()
 	end := time.Now().Add(limit)
 	for what := missing(); what != ""; what = missing() {
 		if time.Now().After(end) {
-			r.t.Fatalf("not within %s: %s", limit, what)
+			r.t.Fatalf("still missing after %s: %s", limit, what)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// model declares a model that takes gb gigabytes in at most replicas slots.
+// model declares a model that takes gb gigabytes and has at most the given number
+// of replicas.
 func model(name string, gb int64, replicas int) kinds.Resource {
 	return kinds.Resource{Kind: kinds.Model, Name: name, Model: &kinds.ModelSpec{
 		Version: "1", MemoryBytes: gb * gigabyte, MaxReplicas: replicas, ColdStart: kinds.Duration(4 * time.Second),
@@ -572,8 +595,8 @@
 	return kinds.Resource{Kind: kinds.Service, Name: name, Service: &kinds.ServiceSpec{ClaimPartitions: 2, ClaimRetention: kinds.Duration(time.Hour)}}
 }
 
-// ask is one chat request.
-type ask struct {
+// chatRequest is the input of one chat request.
+type chatRequest struct {
 	model   string
 	prompt  string
 	tokens  int
@@ -583,45 +606,46 @@
 	id      string
 }
 
-// end is how a request ended, by the caller's clock.
-type end struct {
-	status  int
-	notRun  string
-	code    string
-	outcome string
-	text    string
-	took    time.Duration
-	body    string
+// outcome is the end of a request as its caller sees it, with the elapsed time by
+// the caller's clock.
+type outcome struct {
+	status    int
+	notRun    string
+	errorCode string
+	outcome   string
+	text      string
+	elapsed   time.Duration
+	body      string
 }
 
-func (a ask) messages() string {
+func (a chatRequest) messages() string {
 	return fmt.Sprintf(`[{"role":"user","content":%q}]`, a.prompt)
 }
 
-// want returns the stand-in's whole answer.
-func (a ask) want() string {
+// wantText returns the complete answer that the engine stand-in generates.
+func (a chatRequest) wantText() string {
 	return motor.Answer([]byte(a.messages()), a.tokens)
 }
 
-// chat sends a chat request through an entry and returns how it ended.
-func (e *entryNode) chat(a ask) end {
+// chat sends a chat request through an entry and returns its outcome.
+func (e *entryNode) chat(a chatRequest) outcome {
 	if a.class == "" {
 		a.class = kinds.Interactive
 	}
 	body := fmt.Sprintf(`{"model":%q,"stream":%t,"max_tokens":%d,"messages":%s}`, a.model, a.stream, a.tokens, a.messages())
 	began := time.Now()
-	w := e.do(http.MethodPost, "/v1/chat/completions", body, map[string]string{
+	w := e.request(http.MethodPost, "/v1/chat/completions", body, map[string]string{
 		"X-Timeout-Ms": strconv.FormatInt(a.timeout.Milliseconds(), 10), "X-Class": string(a.class), "X-Request-Id": a.id,
 	})
-	out := endOf(w, began)
+	out := outcomeOf(w, began)
 	if a.stream && out.status == http.StatusOK {
-		out.text, out.code = streamText(w.Body)
+		out.text, out.errorCode = streamText(w.Body)
 	}
 	return out
 }
 
-func endOf(w *httptest.ResponseRecorder, began time.Time) end {
-	out := end{status: w.Code, notRun: w.Header().Get("X-Not-Run"), took: time.Since(began), body: w.Body.String()}
+func outcomeOf(w *httptest.ResponseRecorder, began time.Time) outcome {
+	out := outcome{status: w.Code, notRun: w.Header().Get("X-Not-Run"), elapsed: time.Since(began), body: w.Body.String()}
 	var b struct {
 		Choices []struct {
 			Message struct{ Content string }
@@ -629,7 +653,7 @@
 		Error struct{ Code, Outcome string }
 	}
 	if json.Unmarshal(w.Body.Bytes(), &b) == nil {
-		out.code, out.outcome = b.Error.Code, b.Error.Outcome
+		out.errorCode, out.outcome = b.Error.Code, b.Error.Outcome
 		if len(b.Choices) > 0 {
 			out.text = b.Choices[0].Message.Content
 		}
@@ -637,7 +661,8 @@
 	return out
 }
 
-// streamText returns the text of a whole stream, or the code of the error that ended it.
+// streamText returns the text of a complete stream, or the error code that ended
+// it.
 func streamText(body *bytes.Buffer) (text, code string) {
 	for _, line := range strings.Split(body.String(), "\n") {
 		data, ok := strings.CutPrefix(line, "data: ")
@@ -666,18 +691,19 @@
 	return text, "NoEndMarker"
 }
 
-// post books at a plain service through an entry.
-func (e *entryNode) post(service, body, key string, timeout time.Duration) end {
+// book posts a booking to a plain service through an entry, with an idempotency key
+// unless it is empty.
+func (e *entryNode) book(service, body, key string, timeout time.Duration) outcome {
 	began := time.Now()
 	header := map[string]string{"X-Timeout-Ms": strconv.FormatInt(timeout.Milliseconds(), 10)}
 	if key != "" {
 		header["Idempotency-Key"] = key
 	}
-	return endOf(e.do(http.MethodPost, "/services/"+service+"/book", body, header), began)
+	return outcomeOf(e.request(http.MethodPost, "/services/"+service+"/book", body, header), began)
 }
 
-// at runs functions side by side and waits for all.
-func at(fns ...func()) {
+// runAll runs functions concurrently and waits for all.
+func runAll(fns ...func()) {
 	var g conc.WaitGroup
 	for _, fn := range fns {
 		g.Go(fn)
--- a/test/proofs/silent_test.go
+++ b/test/proofs/silent_test.go
@@ -20,9 +20,10 @@
 	"foxtailcroft/internal/standin/shop"
 )
 
-// overFabric serves a stand-in over in-memory links inside a bubble and runs a test against its address.
-func overFabric(t *testing.T, h http.Handler, fn func(g *WithT, f *fabric, transport func() *http.Transport)) {
-	f := newFabric()
+// withFaultyNetwork serves a stand-in in an in-memory network and runs fn with it.
+// It must run inside a synctest bubble.
+func withFaultyNetwork(t *testing.T, h http.Handler, fn func(g *WithT, f *faultyNetwork, transport func() *http.Transport)) {
+	f := newFaultyNetwork()
 	server, lis := &http.Server{Handler: h}, f.listen("standin")
 	f.group.Go(func() { _ = server.Serve(lis) })
 	var transports []*http.Transport
@@ -34,18 +35,19 @@
 	for _, tr := range transports {
 		tr.CloseIdleConnections()
 	}
-	f.cut("")
+	f.closeLinks("")
 	_ = server.Close()
 	f.group.Wait()
 }
 
-// TestSilentLinkToTheEngine makes the links between agent and engine swallow bytes in mid-order and in mid-stream.
+// TestSilentLinkToTheEngine drops all bytes between agent and engine, first during
+// a load order and then during a stream.
 func TestSilentLinkToTheEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := motorSettings()
+		s := fastEngine()
 		s.LoadTime = 10 * time.Second
 		m := motor.New(s)
-		overFabric(t, m.Handler(), func(g *WithT, f *fabric, transport func() *http.Transport) {
+		withFaultyNetwork(t, m.Handler(), func(g *WithT, f *faultyNetwork, transport func() *http.Transport) {
 			e := engine.NewClient("http://standin", transport())
 			ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 			defer cancel()
@@ -56,30 +58,31 @@
 			g.Expect(time.Since(began)).To(BeNumerically("<", 16*time.Second))
 			g.Expect(m.Stats().Loads).To(Equal(1))
 
-			a := ask{prompt: "x", tokens: 100}
+			a := chatRequest{prompt: "x", tokens: 100}
 			body := []byte(`{"messages":` + a.messages() + `,"max_tokens":100}`)
 			time.AfterFunc(time.Second, func() { f.silence("standin", "") })
-			text, next := "", 0
-			take := func(tok engine.Token) error {
+			text, nextIndex := "", 0
+			appendToken := func(tok engine.Token) error {
 				text += tok.Text
-				next = tok.Index + 1
+				nextIndex = tok.Index + 1
 				return nil
 			}
-			_, err := e.Generate(ctx, engine.Request{Item: item, Body: body}, take)
+			_, err := e.Generate(ctx, engine.Request{Item: item, Body: body}, appendToken)
 			var broken *engine.Broken
 			g.Expect(errors.As(err, &broken)).To(BeTrue())
-			_, err = e.Generate(ctx, engine.Request{Item: item, Body: body, SkipTokens: next, Prefix: text}, take)
+			_, err = e.Generate(ctx, engine.Request{Item: item, Body: body, SkipTokens: nextIndex, Prefix: text}, appendToken)
 			g.Expect(err).NotTo(HaveOccurred())
-			g.Expect(text).To(Equal(a.want()))
+			g.Expect(text).To(Equal(a.wantText()))
 		})
 	})
 }
 
-// TestSilentLinkToTheStore makes the links between a node and the store swallow bytes under calls and a watch.
+// TestSilentLinkToTheStore drops all bytes between a node and the store, first
+// during a write and then during a watch.
 func TestSilentLinkToTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := platf.NewPlatform(1, 0, nil)
-		overFabric(t, p.Handler(), func(g *WithT, f *fabric, transport func() *http.Transport) {
+		withFaultyNetwork(t, p.Handler(), func(g *WithT, f *faultyNetwork, transport func() *http.Transport) {
 			c := store.NewClient("http://standin", transport(), 1000, metrics.NewSet())
 			ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 			defer cancel()
@@ -92,29 +95,30 @@
 			g.Expect(res.Succeeded).To(BeTrue())
 			g.Expect(time.Since(began)).To(BeNumerically("<", 3*time.Second))
 
-			seen := errors.New("seen")
+			errStop := errors.New("stop watching")
 			time.AfterFunc(time.Second, func() { f.silence("standin", "") })
 			time.AfterFunc(1500*time.Millisecond, func() {
 				_, _ = p.Store.Commit(context.Background(), store.Txn{Puts: []store.Put{{Key: "k", Value: []byte("2")}}})
 			})
 			began = time.Now()
-			err = c.Watch(ctx, "k", res.Revision, func(store.Batch) error { return seen })
-			g.Expect(err).To(MatchError(seen))
-			g.Expect(time.Since(began)).To(BeNumerically("<", inForceWithin))
+			err = c.Watch(ctx, "k", res.Revision, func(store.Batch) error { return errStop })
+			g.Expect(err).To(MatchError(errStop))
+			g.Expect(time.Since(began)).To(BeNumerically("<", inForceLimit))
 		})
 	})
 }
 
-// TestSilentLinkToAPlainService checks that a call is not sent again on another connection.
+// TestSilentLinkToAPlainService drops all bytes between agent and service, and
+// checks that the call isn't sent again on another connection.
 func TestSilentLinkToAPlainService(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		book := shop.NewBook()
 		s := shop.New("desk", book)
 		s.SetFaults(shop.Faults{Delay: 500 * time.Millisecond})
-		overFabric(t, s.Handler(), func(g *WithT, f *fabric, transport func() *http.Transport) {
-			fresh := transport()
-			fresh.DisableKeepAlives = true
-			c, err := plain.NewClient("http://standin", transport(), fresh)
+		withFaultyNetwork(t, s.Handler(), func(g *WithT, f *faultyNetwork, transport func() *http.Transport) {
+			noReuse := transport()
+			noReuse.DisableKeepAlives = true
+			c, err := plain.NewClient("http://standin", transport(), noReuse)
 			g.Expect(err).NotTo(HaveOccurred())
 			ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 			defer cancel()
--- a/test/proofs/storm_test.go
+++ b/test/proofs/storm_test.go
@@ -17,72 +17,74 @@
 	"foxtailcroft/test/draws"
 )
 
-// TestMain fixes the seed of the drawn storms.
+// TestMain fixes the seed of the drawn faults.
 func TestMain(m *testing.M) { draws.Main(m, 12) }
 
-// stormFault is one drawn fault: what, when, on which of the endpoints or entries.
-type stormFault struct {
+// drawnFault is one random fault: its kind, its time after the start, and the index
+// of the endpoint or entry that it strikes.
+type drawnFault struct {
 	Kind string
 	At   time.Duration
 	On   int
 }
 
-// stormKinds are all faults of the tables.
-var stormKinds = []string{
+// faultKinds lists all kinds of faults that the other tests inject one by one.
+var faultKinds = []string{
 	"kill agent", "kill service agent", "kill entry", "drain agent", "cut links", "silence links", "part", "store away", "store slow",
 	"answers lost", "stale store", "mute watches", "cut store of one", "engine loses answers", "engine hangs", "tokens hang",
 	"stream breaks", "loads fail", "service loses answers", "service slow", "leaving", "change model",
 }
 
-func drawStorm(t *rapid.T) []stormFault {
-	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) stormFault {
-		return stormFault{
-			Kind: rapid.SampledFrom(stormKinds).Draw(t, "kind"),
+func drawFaults(t *rapid.T) []drawnFault {
+	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) drawnFault {
+		return drawnFault{
+			Kind: rapid.SampledFrom(faultKinds).Draw(t, "kind"),
 			At:   time.Duration(rapid.IntRange(0, 30_000).Draw(t, "at")) * time.Millisecond,
 			On:   rapid.IntRange(0, 2).Draw(t, "on"),
 		}
 	}), 1, 8).Draw(t, "faults")
 }
 
-// apply causes one fault and, where it lasts, ends it.
-func (r *rig) apply(f stormFault) {
+// injectFault injects one fault at its time, and ends it after faultDuration if it
+// is one that lasts.
+func (r *rig) injectFault(f drawnFault) {
 	time.Sleep(f.At)
 	engineName, book, entryName := fmt.Sprintf("engine-%d", f.On), fmt.Sprintf("book-%d", f.On%2), fmt.Sprintf("entry-%d", f.On%2)
 	a, b, e := r.agentNamed(engineName), r.agentNamed(book), r.entryNamed(entryName)
-	const lasting = 6 * time.Second
+	const faultDuration = 6 * time.Second
 	storeFault := func(s platf.Faults) {
 		r.platform.Store.SetFaults(s)
-		time.Sleep(lasting)
+		time.Sleep(faultDuration)
 		r.platform.Store.SetFaults(platf.Faults{})
 	}
 	engineFault := func(m motor.Faults) {
 		r.motors[engineName].SetFaults(m)
-		time.Sleep(lasting)
+		time.Sleep(faultDuration)
 		r.motors[engineName].SetFaults(motor.Faults{})
 	}
 	switch f.Kind {
 	case "kill agent":
-		r.stormKill(a, func() { r.restart(engineName) })
+		r.killAndRestart(a, func() { r.restart(engineName) })
 	case "kill service agent":
-		r.stormKill(b, func() { r.serviceAgent(book, "d"+strconv.Itoa(f.On%2), "book") })
+		r.killAndRestart(b, func() { r.startServiceAgent(book, "d"+strconv.Itoa(f.On%2), "book") })
 	case "kill entry":
 		if e != nil && f.On == 1 {
-			r.stormKillEntry(e)
+			r.killEntry(e)
 		}
 	case "drain agent":
 		if a != nil {
 			a.Worker.Drain()
 		}
 	case "cut links":
-		r.net.cut("addr-" + engineName)
-		r.net.cut("addr-" + book)
+		r.net.closeLinks("addr-" + engineName)
+		r.net.closeLinks("addr-" + book)
 	case "silence links":
 		r.net.silence("addr-"+engineName, "")
 		r.net.silence("addr-"+book, "")
 	case "part":
-		r.net.part("addr-"+entryName, "addr-"+engineName)
-		r.net.part("addr-"+entryName, "addr-"+book)
-		time.Sleep(lasting)
+		r.net.partition("addr-"+entryName, "addr-"+engineName)
+		r.net.partition("addr-"+entryName, "addr-"+book)
+		time.Sleep(faultDuration)
 		r.net.heal("addr-"+entryName, "addr-"+engineName)
 		r.net.heal("addr-"+entryName, "addr-"+book)
 	case "store away":
@@ -97,9 +99,9 @@
 		storeFault(platf.Faults{MuteWatches: true})
 	case "cut store of one":
 		if a != nil {
-			a.gate.set(true)
-			time.Sleep(lasting)
-			a.gate.set(false)
+			a.gate.setCut(true)
+			time.Sleep(faultDuration)
+			a.gate.setCut(false)
 		}
 	case "engine loses answers":
 		engineFault(motor.Faults{LoseAnswers: 3})
@@ -120,12 +122,13 @@
 	case "change model":
 		grown := model("m0", 30, 2)
 		grown.Model.Version = strconv.Itoa(f.On + 2)
-		r.entryNamed("entry-0").send(grown, "")
+		r.entryNamed("entry-0").putOnce(grown, "")
 	}
 }
 
-// stormKill kills an agent, if it lives, and replaces it.
-func (r *rig) stormKill(a *agentNode, restart func()) {
+// killAndRestart kills an agent, unless it is nil or already replaced, and restarts
+// it 700 ms later.
+func (r *rig) killAndRestart(a *agentNode, restart func()) {
 	if a == nil {
 		return
 	}
@@ -137,28 +140,31 @@
 	restart()
 }
 
-func (r *rig) stormKillEntry(e *entryNode) {
+// killEntry kills an entry, unless it has been killed already.
+func (r *rig) killEntry(e *entryNode) {
 	if r.entryNamed(e.name) == e {
 		r.kill(e.process)
 	}
 }
 
-// storm runs a workload under drawn faults and returns how its requests ended.
-func (r *rig) storm(faults []stormFault) (chats map[string]end, wants map[string]string, books map[string][]end) {
-	r.entry("entry-0", "d0")
-	r.entry("entry-1", "d1")
+// runWithFaults runs a workload under the faults. It returns the outcomes of the
+// chat requests and their expected texts by prompt, and the outcomes of the
+// bookings by body.
+func (r *rig) runWithFaults(faults []drawnFault) (chats map[string]outcome, wantTexts map[string]string, books map[string][]outcome) {
+	r.startEntry("entry-0", "d0")
+	r.startEntry("entry-1", "d1")
 	for i := range 3 {
-		r.engineAgent(fmt.Sprintf("engine-%d", i), fmt.Sprintf("d%d", i), motorSettings())
+		r.startEngineAgent(fmt.Sprintf("engine-%d", i), fmt.Sprintf("d%d", i), fastEngine())
 	}
-	r.serviceAgent("book-0", "d0", "book")
-	r.serviceAgent("book-1", "d1", "book")
-	r.put(r.anyEntry(), model("m0", 30, 2), model("m1", 30, 1), model("m2", 40, 2), adapter("a0", "m0", 2), service("book"))
-	chats, wants, books = map[string]end{}, map[string]string{}, map[string][]end{}
+	r.startServiceAgent("book-0", "d0", "book")
+	r.startServiceAgent("book-1", "d1", "book")
+	r.applyAndWait(r.anyEntry(), model("m0", 30, 2), model("m1", 30, 1), model("m2", 40, 2), adapter("a0", "m0", 2), service("book"))
+	chats, wantTexts, books = map[string]outcome{}, map[string]string{}, map[string][]outcome{}
 	var mu sync.Mutex
 	var fns []func()
 	for i := range 60 {
 		names := []string{"m0", "m1", "m2", "a0"}
-		a := ask{model: names[i%4], prompt: fmt.Sprint("p", i), tokens: 30, timeout: time.Duration(5+i%20) * time.Second, stream: i%2 == 0}
+		a := chatRequest{model: names[i%4], prompt: fmt.Sprint("p", i), tokens: 30, timeout: time.Duration(5+i%20) * time.Second, stream: i%2 == 0}
 		e := r.entryNamed(fmt.Sprintf("entry-%d", i/4%2))
 		body := fmt.Sprint("b", i)
 		key := ""
@@ -170,15 +176,15 @@
 			got := e.chat(a)
 			mu.Lock()
 			defer mu.Unlock()
-			chats[a.prompt], wants[a.prompt] = got, a.want()
-			if got.took > a.timeout {
-				r.breach(fmt.Sprintf("%s took %s of %s", a.prompt, got.took, a.timeout))
+			chats[a.prompt], wantTexts[a.prompt] = got, a.wantText()
+			if got.elapsed > a.timeout {
+				r.addViolations(fmt.Sprintf("%s took %s, over its timeout of %s", a.prompt, got.elapsed, a.timeout))
 			}
 		}, func() {
 			time.Sleep(time.Duration(i) * 500 * time.Millisecond)
-			got := e.post("book", body, key, 8*time.Second)
+			got := e.book("book", body, key, 8*time.Second)
 			if key != "" && got.status != http.StatusCreated {
-				again := r.entryNamed("entry-0").post("book", body, key, 8*time.Second)
+				again := r.entryNamed("entry-0").book("book", body, key, 8*time.Second)
 				mu.Lock()
 				books[body] = append(books[body], again)
 				mu.Unlock()
@@ -189,73 +195,74 @@
 		})
 	}
 	for _, f := range faults {
-		fns = append(fns, func() { r.apply(f) })
+		fns = append(fns, func() { r.injectFault(f) })
 	}
-	at(fns...)
-	return chats, wants, books
+	runAll(fns...)
+	return chats, wantTexts, books
 }
 
-// judgeStorm returns the promises that were not kept.
-func (r *rig) judgeStorm(chats map[string]end, wants map[string]string, books map[string][]end) []string {
-	var bad []string
+// brokenGuarantees describes each guarantee that the outcomes break.
+func (r *rig) brokenGuarantees(chats map[string]outcome, wantTexts map[string]string, books map[string][]outcome) []string {
+	var broken []string
 	for prompt, e := range chats {
-		if e.status == http.StatusOK && e.code == "" && e.text != wants[prompt] {
-			bad = append(bad, fmt.Sprintf("%s got %q, not its whole answer", prompt, e.text))
+		if e.status == http.StatusOK && e.errorCode == "" && e.text != wantTexts[prompt] {
+			broken = append(broken, fmt.Sprintf("%s got the incomplete or wrong answer %q", prompt, e.text))
 		}
 	}
 	for body, list := range books {
 		runs := r.books["book"].Runs(body)
-		all := true
+		allNotRun := true
 		for _, e := range list {
-			all = all && e.notRun == "true"
+			allNotRun = allNotRun && e.notRun == "true"
 			if e.status == http.StatusCreated && runs != 1 {
-				bad = append(bad, fmt.Sprintf("%s was answered and ran %d times", body, runs))
+				broken = append(broken, fmt.Sprintf("%s was answered as created but ran %d times", body, runs))
 			}
 		}
-		if runs > 1 || (all && runs > 0) {
-			bad = append(bad, fmt.Sprintf("%s ran %d times, all refused as not run: %t", body, runs, all))
+		if runs > 1 || (allNotRun && runs > 0) {
+			broken = append(broken, fmt.Sprintf("%s ran %d times, all refused as not run: %t", body, runs, allNotRun))
 		}
 	}
 	for name, m := range r.motors {
 		if n := m.Stats().Overcommits; n > 0 {
-			bad = append(bad, fmt.Sprintf("%s was overcommitted %d times", name, n))
+			broken = append(broken, fmt.Sprintf("memory of %s was overcommitted %d times", name, n))
 		}
 	}
-	return bad
+	return broken
 }
 
-// TestStorm draws faults from the whole list, at any moment, together or twice,
-// and checks all promises over one workload.
-func TestStorm(t *testing.T) {
+// TestGuaranteesHoldUnderRandomFaults draws random faults of all kinds at random
+// times, also several at once, and checks all guarantees over one workload.
+func TestGuaranteesHoldUnderRandomFaults(t *testing.T) {
 	n := seed(t)
 	rapid.Check(t, func(rt *rapid.T) {
-		faults := drawStorm(rt)
+		faults := drawFaults(rt)
 		var bad []string
 		synctest.Test(t, func(t *testing.T) {
 			r := newRig(t, n, time.Second)
-			chats, wants, books := r.storm(faults)
+			chats, wantTexts, books := r.runWithFaults(faults)
 			time.Sleep(20 * time.Second)
 			r.platform.Store.SetFaults(platf.Faults{})
 			time.Sleep(30 * time.Second)
-			revision := r.converged()
-			bad = append(r.judgeStorm(chats, wants, books), revision...)
-			r.shut()
-			bad = append(bad, r.breaches...)
+			revision := r.nodesNotConverged()
+			bad = append(r.brokenGuarantees(chats, wantTexts, books), revision...)
+			r.closeNodes()
+			bad = append(bad, r.violations...)
 		})
 		if len(bad) > 0 {
-			rt.Fatalf("under %+v:\n%v", faults, bad)
+			rt.Fatalf("broken guarantees under the faults %+v:\n%v", faults, bad)
 		}
 	})
 }
 
-// converged changes the configuration once more and returns the nodes that do not have it in time.
-func (r *rig) converged() []string {
-	status, revision := r.entryNamed("entry-0").send(policy(7), "")
+// nodesNotConverged changes the configuration once more. It returns a description of
+// a node that doesn't have the change in time, or of the refusal.
+func (r *rig) nodesNotConverged() []string {
+	status, revision := r.entryNamed("entry-0").putOnce(policy(7), "")
 	if status != http.StatusOK {
-		return []string{fmt.Sprintf("a change after the storm was refused with %d", status)}
+		return []string{fmt.Sprintf("a change after the faults was refused with status %d", status)}
 	}
-	time.Sleep(inForceWithin)
-	if what := r.behind(revision); what != "" {
+	time.Sleep(inForceLimit)
+	if what := r.nodeBehind(revision); what != "" {
 		return []string{what}
 	}
 	return nil
--- a/test/soak/client_test.go
+++ b/test/soak/client_test.go
@@ -30,9 +30,9 @@
 	outcomes      map[string]int
 }
 
-func newLoadGenerator(d *deployment, prefix string) *loadGenerator {
+func newLoadGenerator(d *deployment, idPrefix string) *loadGenerator {
 	return &loadGenerator{
-		d: d, idPrefix: prefix, outcomes: map[string]int{},
+		d: d, idPrefix: idPrefix, outcomes: map[string]int{},
 		http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4, DisableCompression: true}},
 	}
 }
@@ -164,24 +164,24 @@
 func (c *loadGenerator) check() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	violations := append(append([]string{}, c.violations...), c.d.book.Broken()...)
+	found := append(append([]string{}, c.violations...), c.d.book.Broken()...)
 	for _, id := range c.atMostOnceIDs {
 		if runs := c.d.book.Runs(id); len(runs) > 1 {
-			violations = append(violations, fmt.Sprintf("%s ran %d times: %+v", id, len(runs), runs))
+			found = append(found, fmt.Sprintf("%s ran %d times: %+v", id, len(runs), runs))
 		}
 	}
 	for _, id := range c.refusedIDs {
 		runs := c.d.book.Runs(id)
 		if len(runs) > 0 && runs[0].Method == http.MethodPost {
-			violations = append(violations, fmt.Sprintf("%s was refused but ran: %+v", id, runs))
+			found = append(found, fmt.Sprintf("%s was refused but ran: %+v", id, runs))
 		}
 	}
 	holders := map[int64]string{}
 	for _, o := range c.d.book.Orders() {
 		if h, ok := holders[o.Fence]; ok && h != o.Holder {
-			violations = append(violations, fmt.Sprintf("fencing token %d was used by %s and %s", o.Fence, h, o.Holder))
+			found = append(found, fmt.Sprintf("fencing token %d was used by %s and %s", o.Fence, h, o.Holder))
 		}
 		holders[o.Fence] = o.Holder
 	}
-	return violations
+	return found
 }
--- a/test/soak/proxy_test.go
+++ b/test/soak/proxy_test.go
@@ -16,8 +16,8 @@
 	lis    net.Listener
 	target string
 	mu     sync.Mutex
-	// conns holds both ends of each forwarded connection.
-	conns map[net.Conn]bool
+	// openConns holds both ends of each forwarded connection.
+	openConns map[net.Conn]bool
 	// silent drops all bytes, refuseNew closes new connections, and delay is the
 	// delay before each forwarded read.
 	silent    bool
@@ -33,7 +33,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &proxy{lis: lis, target: target, conns: map[net.Conn]bool{}}
+	p := &proxy{lis: lis, target: target, openConns: map[net.Conn]bool{}}
 	p.group.Go(p.accept)
 	return p, nil
 }
@@ -47,9 +47,9 @@
 			return
 		}
 		p.mu.Lock()
-		refuse := p.refuseNew
+		refuseNew := p.refuseNew
 		p.mu.Unlock()
-		if refuse {
+		if refuseNew {
 			_ = in.Close()
 			continue
 		}
@@ -59,7 +59,7 @@
 			continue
 		}
 		p.mu.Lock()
-		p.conns[in], p.conns[out] = true, true
+		p.openConns[in], p.openConns[out] = true, true
 		p.mu.Unlock()
 		p.group.Go(func() { p.copy(out, in, false) })
 		p.group.Go(func() { p.copy(in, out, true) })
@@ -104,7 +104,7 @@
 	defer p.mu.Unlock()
 	for _, c := range conns {
 		_ = c.Close()
-		delete(p.conns, c)
+		delete(p.openConns, c)
 	}
 }
 
@@ -112,13 +112,13 @@
 func (p *proxy) reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for c := range p.conns {
+	for c := range p.openConns {
 		if tcp, ok := c.(*net.TCPConn); ok {
 			_ = tcp.SetLinger(0)
 		}
 		_ = c.Close()
 	}
-	clear(p.conns)
+	clear(p.openConns)
 }
 
 // update changes the faults of the proxy under its lock.
--- a/test/soak/site_test.go
+++ b/test/soak/site_test.go
@@ -180,9 +180,9 @@
 // announce writes a server's announcement, unless the server has stopped.
 func (d *deployment) announce(s *standinServer) {
 	d.mu.Lock()
-	gone := s.stopped
+	stopped := s.stopped
 	d.mu.Unlock()
-	if !gone && d.ctx.Err() == nil {
+	if !stopped && d.ctx.Err() == nil {
 		d.writeStore(s.server.Key(), s.server.Announcement())
 	}
 }
