--- a/test/proofs/load_test.go
+++ b/test/proofs/load_test.go
@@ -24,8 +24,8 @@
 		wide.Model.Concurrency = 256
 		r.applyAndWait(r.entryNamed("entry-0"), wide)
 		began := time.Now()
-		ends := r.burst(64, chatRequest{model: "quote", prompt: "burst", tokens: 1, timeout: 60 * time.Second})
-		r.g.Expect(statuses(ends)).To(Equal(map[string]int{"200": 256}))
+		outcomes := r.burst(64, chatRequest{model: "quote", prompt: "burst", tokens: 1, timeout: 60 * time.Second})
+		r.g.Expect(countOutcomes(outcomes)).To(Equal(map[string]int{"200": 256}))
 		r.g.Expect(r.loadCount()).To(Equal(1))
 		r.g.Expect(time.Since(began)).To(BeNumerically("<=", s.LoadTime*11/10))
 		t.Logf("last answer after %s of a load of %s", time.Since(began), s.LoadTime)
--- a/test/proofs/loaded_test.go
+++ b/test/proofs/loaded_test.go
@@ -19,7 +19,7 @@
 // A wrong text gets the error code WrongAnswer.
 func (r *rig) burst(n int, a chatRequest) []outcome {
 	var mu sync.Mutex
-	var ends []outcome
+	var outcomes []outcome
 	var fns []func()
 	for _, e := range r.allEntries() {
 		for i := range n {
@@ -32,18 +32,18 @@
 				}
 				mu.Lock()
 				defer mu.Unlock()
-				ends = append(ends, got)
+				outcomes = append(outcomes, got)
 			})
 		}
 	}
 	runAll(fns...)
-	return ends
+	return outcomes
 }
 
-// statuses counts outcomes by status and error code.
-func statuses(ends []outcome) map[string]int {
+// countOutcomes counts outcomes by status and error code.
+func countOutcomes(outcomes []outcome) map[string]int {
 	out := map[string]int{}
-	for _, e := range ends {
+	for _, e := range outcomes {
 		out[fmt.Sprintf("%d%s", e.status, e.errorCode)]++
 	}
 	return out
@@ -61,10 +61,10 @@
 		}
 		r.applyAndWait(r.entryNamed("entry-0"), model("quote", 20, 2))
 		began := time.Now()
-		ends := r.burst(64, chatRequest{model: "quote", prompt: "burst", tokens: 4, timeout: 30 * time.Second})
-		r.g.Expect(statuses(ends)).To(Equal(map[string]int{"200": 256}))
+		outcomes := r.burst(64, chatRequest{model: "quote", prompt: "burst", tokens: 4, timeout: 30 * time.Second})
+		r.g.Expect(countOutcomes(outcomes)).To(Equal(map[string]int{"200": 256}))
 		r.g.Expect(r.loadCount()).To(Equal(1))
-		t.Logf("burst of 256 over 4 entries: one load, last answer after %s", time.Since(began))
+		t.Logf("burst of 256 requests over 4 entries: one load, last answer after %s", time.Since(began))
 	})
 }
 
@@ -149,19 +149,19 @@
 					r.startEngineAgent(fmt.Sprintf("engine-%d", i), fmt.Sprintf("d%d", i), fastEngine())
 				}
 				r.applyAndWait(r.anyEntry(), model("quote", 20, 2))
-				var ends []outcome
+				var outcomes []outcome
 				runAll(
 					func() {
-						ends = r.burst(32, chatRequest{model: "quote", prompt: "x", tokens: 4, timeout: 40 * time.Second})
+						outcomes = r.burst(32, chatRequest{model: "quote", prompt: "x", tokens: 4, timeout: 40 * time.Second})
 					},
 					func() { c.fault(r) },
 				)
-				for _, e := range ends {
+				for _, e := range outcomes {
 					r.g.Expect(e.elapsed).To(BeNumerically("<=", 40*time.Second))
 				}
 				r.platform.Store.SetFaults(platf.Faults{})
 				time.Sleep(40 * time.Second)
-				t.Logf("ends %v, loads %d", statuses(ends), r.loadCount())
+				t.Logf("outcomes %v, loads %d", countOutcomes(outcomes), r.loadCount())
 			})
 		})
 	}
--- a/test/proofs/once_test.go
+++ b/test/proofs/once_test.go
@@ -84,8 +84,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			inBubble(t, func(r *rig) {
 				r.startBookings()
-				ends := r.bookMany(40, func() { c.fault(r) })
-				r.checkBookings(ends)
+				outcomes := r.bookMany(40, func() { c.fault(r) })
+				r.checkBookings(outcomes)
 			})
 		})
 	}
@@ -95,7 +95,7 @@
 // repeats each 20 s later. It returns the outcomes by body.
 func (r *rig) bookMany(n int, fault func()) map[string][]outcome {
 	var mu sync.Mutex
-	ends := map[string][]outcome{}
+	outcomes := map[string][]outcome{}
 	var fns []func()
 	for i := range n {
 		body, key := fmt.Sprintf("body-%d", i), fmt.Sprintf("key-%d", i)
@@ -110,7 +110,7 @@
 					got := entry.book("book", body, key, 12*time.Second)
 					mu.Lock()
 					defer mu.Unlock()
-					ends[body] = append(ends[body], got)
+					outcomes[body] = append(outcomes[body], got)
 				})
 			}
 		}
@@ -120,19 +120,19 @@
 		fault()
 	})
 	runAll(fns...)
-	return ends
+	return outcomes
 }
 
 // checkBookings compares the answers that callers got with the runs at the service.
-func (r *rig) checkBookings(ends map[string][]outcome) {
+func (r *rig) checkBookings(outcomes map[string][]outcome) {
 	time.Sleep(30 * time.Second)
-	summary := map[string]int{}
-	for body, list := range ends {
+	counts := map[string]int{}
+	for body, list := range outcomes {
 		runs := r.books["book"].Runs(body)
 		r.g.Expect(runs).To(BeNumerically("<=", 1), "%s ran %d times", body, runs)
 		allNotRun := true
 		for _, e := range list {
-			summary[fmt.Sprintf("%d%s", e.status, e.errorCode)]++
+			counts[fmt.Sprintf("%d%s", e.status, e.errorCode)]++
 			r.g.Expect(e.elapsed).To(BeNumerically("<=", 12*time.Second))
 			if e.status == http.StatusCreated {
 				r.g.Expect(runs).To(Equal(1), "%s was answered but did not run", body)
@@ -143,7 +143,7 @@
 			r.g.Expect(runs).To(BeZero(), "every answer reported %s as not run, but it ran", body)
 		}
 	}
-	r.t.Logf("ends %v", summary)
+	r.t.Logf("outcomes %v", counts)
 }
 
 // TestIdempotencyKeyWithAnotherBodyIsRefused uses one idempotency key for two
@@ -238,7 +238,7 @@
 			inBubble(t, func(r *rig) {
 				r.startBookings()
 				var mu sync.Mutex
-				ends := map[string]outcome{}
+				outcomes := map[string]outcome{}
 				var fns []func()
 				for i := range 60 {
 					fns = append(fns, func() {
@@ -247,7 +247,7 @@
 						got := r.entryNamed(fmt.Sprintf("entry-%d", i%2)).book("book", body, "", 2*time.Second)
 						mu.Lock()
 						defer mu.Unlock()
-						ends[body] = got
+						outcomes[body] = got
 					})
 				}
 				fns = append(fns, func() {
@@ -256,10 +256,10 @@
 				})
 				runAll(fns...)
 				time.Sleep(20 * time.Second)
-				summary := map[string]int{}
-				for body, e := range ends {
+				counts := map[string]int{}
+				for body, e := range outcomes {
 					runs := r.books["book"].Runs(body)
-					summary[fmt.Sprintf("%d%s", e.status, e.errorCode)]++
+					counts[fmt.Sprintf("%d%s", e.status, e.errorCode)]++
 					r.g.Expect(e.elapsed).To(BeNumerically("<=", 2*time.Second))
 					switch {
 					case e.status == http.StatusCreated:
@@ -271,7 +271,7 @@
 						r.g.Expect(runs).To(BeNumerically("<=", 1), body)
 					}
 				}
-				t.Logf("ends %v", summary)
+				t.Logf("outcomes %v", counts)
 			})
 		})
 	}
--- a/test/proofs/storm_test.go
+++ b/test/proofs/storm_test.go
@@ -23,9 +23,9 @@
 // drawnFault is one random fault: its kind, its time after the start, and the index
 // of the endpoint or entry that it strikes.
 type drawnFault struct {
-	Kind string
-	At   time.Duration
-	On   int
+	Kind        string
+	Delay       time.Duration
+	TargetIndex int
 }
 
 // faultKinds lists all kinds of faults that the other tests inject one by one.
@@ -38,9 +38,9 @@
 func drawFaults(t *rapid.T) []drawnFault {
 	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) drawnFault {
 		return drawnFault{
-			Kind: rapid.SampledFrom(faultKinds).Draw(t, "kind"),
-			At:   time.Duration(rapid.IntRange(0, 30_000).Draw(t, "at")) * time.Millisecond,
-			On:   rapid.IntRange(0, 2).Draw(t, "on"),
+			Kind:        rapid.SampledFrom(faultKinds).Draw(t, "kind"),
+			Delay:       time.Duration(rapid.IntRange(0, 30_000).Draw(t, "at")) * time.Millisecond,
+			TargetIndex: rapid.IntRange(0, 2).Draw(t, "on"),
 		}
 	}), 1, 8).Draw(t, "faults")
 }
@@ -48,8 +48,8 @@
 // injectFault injects one fault at its time, and ends it after faultDuration if it
 // is one that lasts.
 func (r *rig) injectFault(f drawnFault) {
-	time.Sleep(f.At)
-	engineName, book, entryName := fmt.Sprintf("engine-%d", f.On), fmt.Sprintf("book-%d", f.On%2), fmt.Sprintf("entry-%d", f.On%2)
+	time.Sleep(f.Delay)
+	engineName, book, entryName := fmt.Sprintf("engine-%d", f.TargetIndex), fmt.Sprintf("book-%d", f.TargetIndex%2), fmt.Sprintf("entry-%d", f.TargetIndex%2)
 	a, b, e := r.agentNamed(engineName), r.agentNamed(book), r.entryNamed(entryName)
 	const faultDuration = 6 * time.Second
 	storeFault := func(s platf.Faults) {
@@ -66,9 +66,9 @@
 	case "kill agent":
 		r.killAndRestart(a, func() { r.restart(engineName) })
 	case "kill service agent":
-		r.killAndRestart(b, func() { r.startServiceAgent(book, "d"+strconv.Itoa(f.On%2), "book") })
+		r.killAndRestart(b, func() { r.startServiceAgent(book, "d"+strconv.Itoa(f.TargetIndex%2), "book") })
 	case "kill entry":
-		if e != nil && f.On == 1 {
+		if e != nil && f.TargetIndex == 1 {
 			r.killEntry(e)
 		}
 	case "drain agent":
@@ -121,7 +121,7 @@
 		r.markLeaving(engineName)
 	case "change model":
 		grown := model("m0", 30, 2)
-		grown.Model.Version = strconv.Itoa(f.On + 2)
+		grown.Model.Version = strconv.Itoa(f.TargetIndex + 2)
 		r.entryNamed("entry-0").putOnce(grown, "")
 	}
 }
