--- a/test/draws/draws.go
+++ b/test/draws/draws.go
@@ -11,6 +11,7 @@
 // seedVariable is the environment variable that overrides defaultSeed.
 const seedVariable = "FOXTAILCROFT_SEED"
 
+// defaultSeed is used unless seedVariable is set.
 const defaultSeed = 20261204
 
 // Seed returns the seed from FOXTAILCROFT_SEED, or the default seed if the
--- a/test/procs/procs_test.go
+++ b/test/procs/procs_test.go
@@ -191,6 +191,7 @@
 	Eventually(func() int { _, status, _ := d.book("warm", "warm-key"); return status }, startTimeout, pollInterval).Should(Equal(http.StatusCreated))
 }
 
+// messages returns a JSON array with the prompt as a user message.
 func messages(prompt string) string {
 	return fmt.Sprintf(`[{"role":"user","content":%q}]`, prompt)
 }
--- a/test/proofs/config_test.go
+++ b/test/proofs/config_test.go
@@ -19,6 +19,7 @@
 // every node, as promised to users.
 const inForceLimit = 6 * time.Second
 
+// policy declares the policy "p" with a cold start price.
 func policy(price float64) kinds.Resource {
 	return kinds.Resource{Kind: kinds.Policy, Name: "p", Policy: &kinds.PolicySpec{ColdStartPrice: price}}
 }
--- a/test/proofs/storm_test.go
+++ b/test/proofs/random_test.go
@@ -35,6 +35,7 @@
 	"stream breaks", "loads fail", "service loses answers", "service slow", "leaving", "change model",
 }
 
+// drawFaults draws one to eight faults within the first 30 seconds.
 func drawFaults(t *rapid.T) []drawnFault {
 	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) drawnFault {
 		return drawnFault{
--- a/test/proofs/rig_test.go
+++ b/test/proofs/rig_test.go
@@ -65,21 +65,24 @@
 	group         conc.WaitGroup
 	stop          chan struct{}
 	violations    []string
-	// startWithoutStore cuts nodes that start from now on off from the store.
+	// startWithoutStore starts further nodes with their connection to the store cut.
 	startWithoutStore bool
 }
 
+// process is the part that entries and agents of the rig share. closeAll ends the process.
 type process struct {
 	name, addr string
 	closeAll   func()
 }
 
+// entryNode is a running entry with its connection to the store.
 type entryNode struct {
 	process
 	*entry.Entry
 	gate *gatedStore
 }
 
+// agentNode is a running agent with its connection to the store.
 type agentNode struct {
 	process
 	*agent.Agent
@@ -92,6 +95,7 @@
 	inBubbleWithListLag(t, time.Second, fn)
 }
 
+// inBubbleWithListLag is inBubble with the given lag of the instance list.
 func inBubbleWithListLag(t *testing.T, listLag time.Duration, fn func(r *rig)) {
 	t.Helper()
 	runSeed := seed(t)
@@ -102,6 +106,7 @@
 	})
 }
 
+// newRig returns a rig without nodes and starts the observation of its invariants.
 func newRig(t *testing.T, seed uint64, listLag time.Duration) *rig {
 	r := &rig{
 		t: t, g: NewWithT(t), net: newFaultyNetwork(), platform: platf.NewPlatform(seed, listLag, nil), listLag: listLag,
@@ -144,6 +149,7 @@
 	cut bool
 }
 
+// setCut cuts the connection, or restores it.
 func (s *gatedStore) setCut(cut bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -352,6 +358,7 @@
 	return r.startAgentProcess(name, set, o, gate, agent.Backs{Plain: r.shops[name]})
 }
 
+// startAgentProcess starts an agent with the given settings and back ends.
 func (r *rig) startAgentProcess(name string, set conf.Agent, o member.Options, gate *gatedStore, backs agent.Backs) *agentNode {
 	a, closeAgent := agent.New(set, o, backs)
 	tr, closeTree := tree.New(context.Background(), o.Log)
@@ -378,12 +385,14 @@
 	return r.agents[name]
 }
 
+// allEntries returns a copy of the live entries, by name.
 func (r *rig) allEntries() map[string]*entryNode {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return maps.Clone(r.entries)
 }
 
+// allAgents returns a copy of the live agents, by name.
 func (r *rig) allAgents() map[string]*agentNode {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -591,6 +600,8 @@
 	}}
 }
 
+// service declares a plain service with two claim partitions that keeps idempotency
+// keys for one hour.
 func service(name string) kinds.Resource {
 	return kinds.Resource{Kind: kinds.Service, Name: name, Service: &kinds.ServiceSpec{ClaimPartitions: 2, ClaimRetention: kinds.Duration(time.Hour)}}
 }
@@ -618,6 +629,7 @@
 	body      string
 }
 
+// messages returns the request's messages as a JSON array.
 func (a chatRequest) messages() string {
 	return fmt.Sprintf(`[{"role":"user","content":%q}]`, a.prompt)
 }
@@ -644,6 +656,7 @@
 	return out
 }
 
+// outcomeOf decodes a recorded answer into an outcome.
 func outcomeOf(w *httptest.ResponseRecorder, began time.Time) outcome {
 	out := outcome{status: w.Code, notRun: w.Header().Get("X-Not-Run"), elapsed: time.Since(began), body: w.Body.String()}
 	var b struct {
--- a/test/scale/planner_test.go
+++ b/test/scale/planner_test.go
@@ -18,12 +18,14 @@
 	"foxtailcroft/internal/standin/platf"
 )
 
+// failingList is an instance list whose calls all fail.
 type failingList struct{}
 
 func (failingList) Instances(context.Context) ([]fleet.Instance, error) {
 	return nil, errors.New("instance list is not available")
 }
 
+// failingDial fails every dial.
 func failingDial(context.Context, string) (net.Conn, error) {
 	return nil, errors.New("dial failed")
 }
--- a/test/scale/scale_test.go
+++ b/test/scale/scale_test.go
@@ -28,8 +28,10 @@
 	return fmt.Sprintf("models=%d,adapters=%d,nodes=%d", s.models, s.adapters, s.nodes)
 }
 
+// domainCount is the number of failure domains.
 const domainCount = 15
 
+// encode returns v as JSON, and fails the benchmark if it can't be encoded.
 func encode(b *testing.B, v any) json.RawMessage {
 	b.Helper()
 	data, err := json.Marshal(v)
@@ -39,6 +41,7 @@
 	return data
 }
 
+// node returns the registration of the i-th node. Every sixth node is an entry.
 func node(i int) plan.Node {
 	n := plan.Node{
 		Name: fmt.Sprintf("endpoint-%05d", i), Role: plan.Agent, Address: fmt.Sprintf("10.%d.%d.%d:9100", i>>16, i>>8&255, i&255),
@@ -50,6 +53,7 @@
 	return n
 }
 
+// modelPlan returns a plan of the i-th model with two active slots.
 func modelPlan(i, nodes int) plan.Plan {
 	p := plan.Plan{Target: fmt.Sprintf("model-%04d", i), NextNumber: 2}
 	for s := range 2 {
--- a/test/soak/client_test.go
+++ b/test/soak/load_test.go
@@ -69,6 +69,7 @@
 	}
 }
 
+// eventsPerStream is the number of events in each streamed answer.
 const eventsPerStream = 6
 
 // sendOne sends one request and checks its answer. It reports whether the answer
@@ -152,6 +153,7 @@
 	}
 }
 
+// countOutcome counts a request by its kind and status.
 func (c *loadGenerator) countOutcome(outcome string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/test/soak/proxy_test.go
+++ b/test/soak/proxy_test.go
@@ -28,6 +28,7 @@
 	group          conc.WaitGroup
 }
 
+// newProxy starts a proxy on a free loopback port.
 func newProxy(target string) (*proxy, error) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -40,6 +41,7 @@
 
 func (p *proxy) address() string { return p.lis.Addr().String() }
 
+// accept accepts connections and forwards them until the listener closes.
 func (p *proxy) accept() {
 	for {
 		in, err := p.lis.Accept()
@@ -73,19 +75,19 @@
 	for {
 		n, err := src.Read(buf)
 		p.mu.Lock()
-		swallow, delay := p.silent || p.silentToCaller && toCaller, p.delay
+		drop, delay := p.silent || p.silentToCaller && toCaller, p.delay
 		p.mu.Unlock()
 		if delay > 0 {
 			time.Sleep(delay)
 		}
-		if n > 0 && !swallow {
+		if n > 0 && !drop {
 			if _, err := dst.Write(buf[:n]); err != nil {
 				return
 			}
 		}
 		if err != nil {
 			// While bytes are dropped, the close is not forwarded either, as in a network partition.
-			for err == io.EOF && p.swallows(toCaller) {
+			for err == io.EOF && p.drops(toCaller) {
 				time.Sleep(50 * time.Millisecond)
 			}
 			return
@@ -93,12 +95,14 @@
 	}
 }
 
-func (p *proxy) swallows(toCaller bool) bool {
+// drops reports whether the proxy drops bytes of a direction.
+func (p *proxy) drops(toCaller bool) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.silent || p.silentToCaller && toCaller
 }
 
+// closeConns closes connections and forgets them.
 func (p *proxy) closeConns(conns ...net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -128,6 +132,7 @@
 	change(p)
 }
 
+// clearFaults ends all faults of the proxy.
 func (p *proxy) clearFaults() {
 	p.update(func(p *proxy) { p.silent, p.refuseNew, p.silentToCaller, p.delay = false, false, false, 0 })
 }
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -41,6 +41,7 @@
 	{336, "the soak test gave the same port to two processes"},
 }
 
+// TestSoak runs the regression seeds and the requested ones in parallel.
 func TestSoak(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "foxtailcroft")
 	if out, err := exec.Command("go", "build", "-o", binary, "../../cmd/foxtailcroft").CombinedOutput(); err != nil {
@@ -175,6 +176,7 @@
 	return time.Duration(200+h.rnd.IntN(2500)) * time.Millisecond
 }
 
+// restartFront stops a front with a signal and starts it again.
 func (h *faultInjector) restartFront(s syscall.Signal) {
 	f := h.drawFront()
 	h.d.stopFront(f, s)
