--- a/cmd/foxtailcroft/agent.go
+++ b/cmd/foxtailcroft/agent.go
@@ -34,10 +34,10 @@
 	if err != nil {
 		return err
 	}
-	node := plan.Node{Name: settings.Node.Name, Role: plan.Agent, Region: settings.Node.Region, Domain: settings.Node.Domain, Back: plan.ServiceBack}
-	var backs agent.Backs
+	node := plan.Node{Name: settings.Node.Name, Role: plan.Agent, Region: settings.Node.Region, Domain: settings.Node.Domain, Back: plan.ServiceEndpoint}
+	var backs agent.BackEnds
 	if settings.Engine != nil {
-		node.Back, node.MemoryBytes = plan.EngineBack, settings.Engine.MemoryBytes
+		node.Back, node.MemoryBytes = plan.EngineEndpoint, settings.Engine.MemoryBytes
 		backs.Engine = engine.NewClient(settings.Engine.URL, transport())
 	} else {
 		node.Service = settings.Service.Name
@@ -56,7 +56,7 @@
 		return eris.Wrap(err, "metrics listener")
 	}
 	a, closeAgent := agent.New(settings, o, backs)
-	return supervise(cmd.Context(), o.Log, func(t *tree.Tree) error {
+	return supervise(cmd.Context(), o.Log, func(t *tree.Supervisor) error {
 		t.OnClose(closeAgent)
 		a.Start(t, metrics)
 		return nil
--- a/cmd/foxtailcroft/apply.go
+++ b/cmd/foxtailcroft/apply.go
@@ -23,9 +23,9 @@
 		Short: "Create or update the resources in one or more files",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			w := remote.Write{DryRun: dryRun}
+			w := remote.WriteOptions{DryRun: dryRun}
 			if cmd.Flags().Changed("revision") {
-				w.Revision = &revision
+				w.IfRevision = &revision
 			}
 			return runApply(cmd, flags, files, w)
 		},
@@ -41,7 +41,7 @@
 }
 
 // runApply applies the resources kind by kind, in the order of kinds.All.
-func runApply(cmd *cobra.Command, flags entryFlags, files []string, w remote.Write) error {
+func runApply(cmd *cobra.Command, flags entryFlags, files []string, w remote.WriteOptions) error {
 	list, err := readResources(cmd.InOrStdin(), files)
 	if err != nil {
 		return err
@@ -72,7 +72,7 @@
 		if err != nil {
 			return nil, err
 		}
-		list, err := conf.Resources(file, data)
+		list, err := conf.DecodeResources(file, data)
 		if err != nil {
 			return nil, err
 		}
--- a/cmd/foxtailcroft/audit.go
+++ b/cmd/foxtailcroft/audit.go
@@ -50,7 +50,7 @@
 
 // auditPrefix returns the key prefix that selects audit records; it is empty if no kind is given.
 func auditPrefix(kind, name string) string {
-	if k, err := kinds.Parse(kind); err == nil {
+	if k, err := kinds.ParseKind(kind); err == nil {
 		kind = string(k)
 	}
 	switch {
--- a/cmd/foxtailcroft/config.go
+++ b/cmd/foxtailcroft/config.go
@@ -49,7 +49,7 @@
 		_, err := platform.DecodeSettings(file, data)
 		return "platform settings", err
 	case hasTopLevelField(data, "Kind"):
-		list, err := conf.Resources(file, data)
+		list, err := conf.DecodeResources(file, data)
 		return fmt.Sprintf("file of %d resources", len(list)), err
 	case hasTopLevelField(data, "Engine"), hasTopLevelField(data, "Service"):
 		_, err := conf.ReadAgent(file)
--- a/cmd/foxtailcroft/delete.go
+++ b/cmd/foxtailcroft/delete.go
@@ -19,18 +19,18 @@
 		Args:              cobra.ExactArgs(2),
 		ValidArgsFunction: completeKinds,
 		RunE: func(cmd *cobra.Command, args []string) error {
-			kind, err := kinds.Parse(args[0])
+			kind, err := kinds.ParseKind(args[0])
 			if err != nil {
 				return err
 			}
-			w := remote.Write{DryRun: dryRun}
+			w := remote.WriteOptions{DryRun: dryRun}
 			if cmd.Flags().Changed("revision") {
-				w.Revision = &revision
+				w.IfRevision = &revision
 			}
 			if err := flags.client().Delete(cmd.Context(), kind, args[1], w); err != nil {
 				return err
 			}
-			_, err = fmt.Fprintf(cmd.OutOrStdout(), "%s deleted\n", kinds.Key(kind, args[1]))
+			_, err = fmt.Fprintf(cmd.OutOrStdout(), "%s deleted\n", kinds.ResourceKey(kind, args[1]))
 			return err
 		},
 	}
--- a/cmd/foxtailcroft/dev.go
+++ b/cmd/foxtailcroft/dev.go
@@ -42,16 +42,16 @@
 	if err != nil {
 		return eris.Wrap(err, "logger")
 	}
-	resources, err := check.Resources(sample.Files)
+	resources, err := check.ReadResources(sample.Files)
 	if err != nil {
 		return err
 	}
-	d, closeDev, err := local.Start(cmd.Context(), local.Default(), log)
+	d, closeDev, err := local.Start(cmd.Context(), local.DefaultSettings(), log)
 	if err != nil {
 		return eris.Wrap(err, "deployment")
 	}
 	defer closeDev()
-	client := remote.New(d.Entries[0], "dev")
+	client := remote.New(d.EntryURLs[0], "dev")
 	if err := applyExamples(cmd.Context(), client, resources); err != nil {
 		return err
 	}
@@ -73,7 +73,7 @@
 func applyExamples(ctx context.Context, client *remote.Client, resources []kinds.Resource) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	if err := check.Apply(ctx, client, resources); err != nil {
+	if err := check.ApplyResources(ctx, client, resources); err != nil {
 		return eris.Wrap(err, "example resources")
 	}
 	return check.WaitReady(ctx, client, resources)
@@ -81,12 +81,12 @@
 
 // checkExampleRequests sends the example requests and checks their outcomes.
 func checkExampleRequests(ctx context.Context, out io.Writer, client *remote.Client, d *local.Deployment) error {
-	requests, err := check.Requests(sample.Files)
+	requests, err := check.ReadRequests(sample.Files)
 	if err != nil {
 		return err
 	}
-	return check.Run(ctx, out, client, d.Entries, requests, func(service, body string) int {
-		if book := d.Books[service]; book != nil {
+	return check.Run(ctx, out, client, d.EntryURLs, requests, func(service, body string) int {
+		if book := d.RunLogs[service]; book != nil {
 			return book.Runs(body)
 		}
 		return 0
@@ -95,11 +95,11 @@
 
 // printURLs writes the base URLs of the entries and of the platform stand-in.
 func printURLs(out io.Writer, d *local.Deployment) error {
-	for i, e := range d.Entries {
+	for i, e := range d.EntryURLs {
 		if _, err := fmt.Fprintf(out, "entry-%d  %s\n", i+1, e); err != nil {
 			return err
 		}
 	}
-	_, err := fmt.Fprintf(out, "platform %s\n\ntry: foxtailcroft status --entry %s\n", d.PlatformURL, d.Entries[0])
+	_, err := fmt.Fprintf(out, "platform %s\n\ntry: foxtailcroft status --entry %s\n", d.PlatformURL, d.EntryURLs[0])
 	return err
 }
--- a/cmd/foxtailcroft/entry.go
+++ b/cmd/foxtailcroft/entry.go
@@ -49,7 +49,7 @@
 		return eris.Wrap(err, "caller listener")
 	}
 	e, closeEntry := entry.New(settings, o)
-	return supervise(cmd.Context(), o.Log, func(t *tree.Tree) error {
+	return supervise(cmd.Context(), o.Log, func(t *tree.Supervisor) error {
 		t.OnClose(closeEntry)
 		e.Start(t, callers)
 		return nil
--- a/cmd/foxtailcroft/front.go
+++ b/cmd/foxtailcroft/front.go
@@ -55,9 +55,9 @@
 	if settings.MemoryBytes > 0 {
 		debug.SetMemoryLimit(settings.MemoryBytes * softMemoryLimitPercent / 100)
 	}
-	out, closeOut := logs.NewBounded(os.Stdout, logBufferLines)
+	out, closeOut := logs.NewAsyncWriter(os.Stdout, logBufferLines)
 	defer closeOut()
-	log, err := logs.NewSplit(out, "info", settings.Node.Name)
+	log, err := logs.NewAsync(out, "info", settings.Node.Name)
 	if err != nil {
 		return eris.Wrap(err, "logger")
 	}
@@ -75,20 +75,20 @@
 		return float64(routine)
 	})
 	f, closeFront := front.New(front.Options{
-		Settings: settings, Dialect: platform.Dialect{}, Dial: conns.TCP, DialPeers: conns.TCP, ReadyPath: platform.ReadyPath, Meters: meters, Log: log,
+		Settings: settings, Dialect: platform.Dialect{}, DialInstance: conns.DialTCP, DialPeer: conns.DialTCP, ReadyPath: platform.ReadyPath, Metrics: meters, Log: log,
 		Store: platform.NewStore(settings.Store, &http.Transport{DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
-			return conns.TCP(ctx, address)
+			return conns.DialTCP(ctx, address)
 		}}, min(settings.Bounds.InForce, settings.Bounds.Contact*2/3), meters),
-		Layout: follow.Layout{
-			DocumentKey: platform.ConfigKey, InstancePrefix: platform.ServerPrefix,
-			Prefixes: []string{platform.OperatorPrefix, platform.ServerPrefix, follow.OwnPrefix},
+		StoreLayout: follow.Layout{
+			DocumentKey: platform.DocumentKey, InstancePrefix: platform.ServerPrefix,
+			Prefixes: []string{platform.OperatorPrefix, platform.ServerPrefix, follow.SystemPrefix},
 		},
 	})
 	log.Info("starting")
-	return supervise(ctx, log, func(t *tree.Tree) error {
+	return supervise(ctx, log, func(t *tree.Supervisor) error {
 		t.OnClose(closeFront)
 		f.Start(t, listeners)
-		t.Keep("Reload", func(ctx context.Context) { recheckSettings(ctx, reload, file, settings, log) })
+		t.KeepRunning("Reload", func(ctx context.Context) { recheckSettings(ctx, reload, file, settings, log) })
 		return nil
 	}, f.Drain)
 }
@@ -114,7 +114,7 @@
 // openListeners opens the listeners of a front that have an address.
 func openListeners(ctx context.Context, l conf.FrontListen) (front.Listeners, error) {
 	var out front.Listeners
-	config := net.ListenConfig{KeepAliveConfig: conns.KeepAlive, Control: conns.Control}
+	config := net.ListenConfig{KeepAliveConfig: conns.KeepAlive, Control: conns.SetUserTimeout}
 	for _, spec := range []struct {
 		name, address string
 		dest          *net.Listener
--- a/cmd/foxtailcroft/get.go
+++ b/cmd/foxtailcroft/get.go
@@ -36,7 +36,7 @@
 
 // runGet lists the resources of a kind, or shows one if its name is given.
 func runGet(cmd *cobra.Command, flags entryFlags, args []string) error {
-	kind, err := kinds.Parse(args[0])
+	kind, err := kinds.ParseKind(args[0])
 	if err != nil {
 		return err
 	}
--- a/cmd/foxtailcroft/main.go
+++ b/cmd/foxtailcroft/main.go
@@ -32,7 +32,7 @@
 
 // exitCode distinguishes invalid settings and missing files from other failures.
 func exitCode(err error) int {
-	var invalid *conf.Wrong
+	var invalid *conf.InvalidSetting
 	if errors.As(err, &invalid) || errors.Is(err, os.ErrNotExist) {
 		return exitInvalidSettings
 	}
--- a/cmd/foxtailcroft/measure.go
+++ b/cmd/foxtailcroft/measure.go
@@ -9,8 +9,8 @@
 	"github.com/spf13/cobra"
 
 	"foxtailcroft/internal/lab/emul"
-	"foxtailcroft/internal/lab/flows"
-	"foxtailcroft/internal/lab/sheet"
+	"foxtailcroft/internal/lab/report"
+	"foxtailcroft/internal/lab/traces"
 	"foxtailcroft/internal/oper/print"
 )
 
@@ -21,7 +21,7 @@
 		Short: "Compare the policies on generated workloads in simulated time",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return runMeasure(cmd, seedsOrDefault(seeds, sheet.VerdictSeeds()))
+			return runMeasure(cmd, seedsOrDefault(seeds, report.HeldOutSeeds()))
 		},
 	}
 	cmd.PersistentFlags().UintSliceVar(&seeds, "seeds", nil, "seeds of the workloads (default: the seeds of the verdict)")
@@ -37,15 +37,15 @@
 		Short: "Measure how much each input improves server selection and model placement, with emulated model servers",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			sites := map[string]func(float64, uint64) emul.Options{"spares": emul.Spares, "blankets": emul.Blankets}
+			sites := map[string]func(float64, uint64) emul.Options{"spares": emul.SparesOptions, "blankets": emul.BlanketsOptions}
 			if sites[site] == nil {
 				return fmt.Errorf("flag --site: %q is neither spares nor blankets", site)
 			}
-			rows := emul.Experiment(sites[site], seedsOrDefault(*seeds, sheet.VerdictSeeds()))
+			rows := emul.RunExperiment(sites[site], seedsOrDefault(*seeds, report.HeldOutSeeds()))
 			if err := writePlot(plot, site, rows); err != nil {
 				return err
 			}
-			return print.Render(cmd.OutOrStdout(), output, rows, func(w io.Writer) error { return emul.Write(w, rows) })
+			return print.Render(cmd.OutOrStdout(), output, rows, func(w io.Writer) error { return emul.WriteTable(w, rows) })
 		},
 	}
 	cmd.Flags().StringVar(&site, "site", "spares", "example site to emulate: spares or blankets")
@@ -63,7 +63,7 @@
 	if err != nil {
 		return err
 	}
-	return errors.Join(emul.Plot(f, "Requests served in time, "+site, rows), f.Close())
+	return errors.Join(emul.WriteChart(f, "Requests served in time, "+site, rows), f.Close())
 }
 
 // seedsOrDefault returns seeds, or defaults if there are none.
@@ -79,8 +79,8 @@
 }
 
 func runMeasure(cmd *cobra.Command, seeds []uint64) error {
-	for _, d := range []flows.Deployment{flows.Kiraboshi(), flows.WarmHands()} {
-		if err := sheet.Write(cmd.OutOrStdout(), d, seeds); err != nil {
+	for _, d := range []traces.Deployment{traces.Kiraboshi(), traces.WarmHands()} {
+		if err := report.WriteTable(cmd.OutOrStdout(), d, seeds); err != nil {
 			return err
 		}
 		if _, err := fmt.Fprintln(cmd.OutOrStdout()); err != nil {
--- a/cmd/foxtailcroft/process.go
+++ b/cmd/foxtailcroft/process.go
@@ -33,14 +33,14 @@
 	node.Address = lis.Addr().String()
 	meters := metrics.NewSet()
 	return member.Options{
-		Self: node, Listener: lis, Dial: peer.TCP, Meters: meters, Log: log,
-		Store: store.NewClient(platform.Store, transport(), platform.CallsPerSecond, meters),
-		List:  fleet.NewClient(platform.List, transport()),
+		Self: node, Listener: lis, Dial: peer.DialTCP, Metrics: meters, Log: log,
+		Store:     store.NewClient(platform.Store, transport(), platform.CallsPerSecond, meters),
+		Instances: fleet.NewClient(platform.List, transport()),
 	}, nil
 }
 
 // supervise runs a process until ctx ends, then drains it. If a part fails it returns the error without draining.
-func supervise(ctx context.Context, log *zap.Logger, start func(*tree.Tree) error, drain func(context.Context)) error {
+func supervise(ctx context.Context, log *zap.Logger, start func(*tree.Supervisor) error, drain func(context.Context)) error {
 	t, closeTree := tree.New(context.WithoutCancel(ctx), log)
 	defer closeTree()
 	if err := start(t); err != nil {
@@ -52,7 +52,7 @@
 		drain(context.WithoutCancel(ctx))
 		log.Info("drained")
 		return nil
-	case failed := <-t.Failed():
+	case failed := <-t.Failures():
 		return failed
 	}
 }
--- a/cmd/foxtailcroft/standin.go
+++ b/cmd/foxtailcroft/standin.go
@@ -12,9 +12,9 @@
 
 	"foxtailcroft/internal/base/conf"
 	"foxtailcroft/internal/plat/fleet"
-	"foxtailcroft/internal/standin/motor"
-	"foxtailcroft/internal/standin/platf"
-	"foxtailcroft/internal/standin/shop"
+	"foxtailcroft/internal/standin/engsim"
+	"foxtailcroft/internal/standin/kvsim"
+	"foxtailcroft/internal/standin/svcsim"
 )
 
 func standinCommand() *cobra.Command {
@@ -47,34 +47,34 @@
 
 func standinPlatform(file string) (http.Handler, string, error) {
 	var settings conf.StandinPlatform
-	if err := conf.Read(file, &settings); err != nil {
+	if err := conf.ReadFile(file, &settings); err != nil {
 		return nil, "", err
 	}
 	var list []fleet.Instance
 	for _, i := range settings.Instances {
 		list = append(list, fleet.Instance{Name: i.Name, Role: i.Role, Address: i.Address, Region: i.Region, Domain: i.Domain})
 	}
-	return platf.NewPlatform(settings.Seed, settings.ListLag.Std(), list).Handler(), settings.Listen, nil
+	return kvsim.NewPlatform(settings.Seed, settings.ListLag.Std(), list).Handler(), settings.Listen, nil
 }
 
 func standinEngine(file string) (http.Handler, string, error) {
 	var settings conf.StandinEngine
-	if err := conf.Read(file, &settings); err != nil {
+	if err := conf.ReadFile(file, &settings); err != nil {
 		return nil, "", err
 	}
-	m := motor.New(motor.Settings{
+	m := engsim.New(engsim.Settings{
 		MemoryBytes: settings.MemoryBytes, CheckFence: settings.ChecksFence, LoadTime: settings.LoadTime.Std(), AdapterTime: settings.AdapterTime.Std(),
-		UnloadTime: settings.UnloadTime.Std(), FirstToken: settings.FirstToken.Std(), TokenTime: settings.TokenTime.Std(), ReportLag: settings.ReportLag.Std(),
+		UnloadTime: settings.UnloadTime.Std(), TimeToFirstToken: settings.FirstToken.Std(), InterTokenLatency: settings.TokenTime.Std(), MaxReportAge: settings.ReportLag.Std(),
 	})
 	return m.Handler(), settings.Listen, nil
 }
 
 func standinService(file string) (http.Handler, string, error) {
 	var settings conf.StandinService
-	if err := conf.Read(file, &settings); err != nil {
+	if err := conf.ReadFile(file, &settings); err != nil {
 		return nil, "", err
 	}
-	return shop.New(settings.Name, shop.NewBook()).Handler(), settings.Listen, nil
+	return svcsim.New(settings.Name, svcsim.NewRunLog()).Handler(), settings.Listen, nil
 }
 
 // headerTimeout bounds the time to read a request's header.
--- a/cmd/foxtailcroft/status.go
+++ b/cmd/foxtailcroft/status.go
@@ -8,7 +8,7 @@
 
 	"github.com/spf13/cobra"
 
-	"foxtailcroft/internal/base/pause"
+	"foxtailcroft/internal/base/sleep"
 	"foxtailcroft/internal/oper/print"
 )
 
@@ -49,7 +49,7 @@
 		if err := print.Render(out, flags.output, cluster, print.Cluster(cluster)); err != nil || !watch {
 			return err
 		}
-		if !pause.For(cmd.Context(), statusRefreshInterval) {
+		if !sleep.For(cmd.Context(), statusRefreshInterval) {
 			return nil
 		}
 	}
--- a/cmd/foxtailcroft/watch.go
+++ b/cmd/foxtailcroft/watch.go
@@ -29,7 +29,7 @@
 }
 
 func runWatch(cmd *cobra.Command, flags entryFlags, name string, revision int64) error {
-	kind, err := kinds.Parse(name)
+	kind, err := kinds.ParseKind(name)
 	if err != nil {
 		return err
 	}
--- a/internal/agent/asks/doc.go
+++ /dev/null
@@ -1,2 +0,0 @@
-// Package asks obtains permits for loads from the weight store from an entry of the agent's region.
-package asks
--- a/internal/agent/claim/log.go
+++ b/internal/agent/claim/log.go
@@ -8,7 +8,7 @@
 
 	"github.com/google/uuid"
 
-	"foxtailcroft/internal/base/crew"
+	"foxtailcroft/internal/base/tasks"
 	"foxtailcroft/internal/core/fault"
 	"foxtailcroft/internal/plat/store"
 )
@@ -59,7 +59,7 @@
 	self      ownerRecord
 	store     store.Store
 	retention time.Duration
-	group     crew.Group
+	group     tasks.Group
 	ctx       context.Context
 
 	mu            sync.Mutex
--- a/internal/agent/claim/log_test.go
+++ b/internal/agent/claim/log_test.go
@@ -10,13 +10,13 @@
 	. "github.com/onsi/gomega"
 
 	"foxtailcroft/internal/core/fault"
-	"foxtailcroft/internal/standin/platf"
+	"foxtailcroft/internal/standin/kvsim"
 )
 
 const retention = time.Hour
 
 // newLogs returns the claim logs of two agents for one partition.
-func newLogs(s *platf.Memory) (a, b *Log, stop func()) {
+func newLogs(s *kvsim.MemoryStore) (a, b *Log, stop func()) {
 	a, stopA := NewLog(s, "book", 0, "agent-a", 1, retention)
 	b, stopB := NewLog(s, "book", 0, "agent-b", 1, retention)
 	return a, b, func() {
@@ -33,7 +33,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		ctx := context.Background()
-		a, b, stop := newLogs(platf.NewMemory(1))
+		a, b, stop := newLogs(kvsim.NewMemoryStore(1))
 		defer stop()
 		claim := func(l *Log, key string) (Outcome, error) { return l.Claim(ctx, key, 1) }
 		for _, step := range []struct {
@@ -61,10 +61,10 @@
 func TestSuccessorSeesEveryClaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		s := platf.NewMemory(3)
+		s := kvsim.NewMemoryStore(3)
 		a, b, stop := newLogs(s)
 		defer stop()
-		s.SetFaults(platf.Faults{LoseAnswers: 0.5})
+		s.SetFaults(kvsim.Faults{LoseAnswers: 0.5})
 		var dispatched []string
 		for i := range 40 {
 			ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
@@ -74,7 +74,7 @@
 			}
 			cancel()
 		}
-		s.SetFaults(platf.Faults{})
+		s.SetFaults(kvsim.Faults{})
 		g.Expect(len(dispatched)).To(BeNumerically(">", 5))
 		for _, key := range dispatched {
 			out, err := b.Claim(context.Background(), key, 1)
--- a/internal/agent/claim/open.go
+++ b/internal/agent/claim/open.go
@@ -5,7 +5,7 @@
 	"encoding/json"
 	"time"
 
-	"foxtailcroft/internal/base/pause"
+	"foxtailcroft/internal/base/sleep"
 	"foxtailcroft/internal/core/fault"
 	"foxtailcroft/internal/plat/store"
 )
@@ -88,7 +88,7 @@
 		if done {
 			return revision, nil
 		}
-		if !pause.For(ctx, retryPause) {
+		if !sleep.For(ctx, retryPause) {
 			if err == nil {
 				err = ctx.Err()
 			}
--- a/internal/agent/claim/write.go
+++ b/internal/agent/claim/write.go
@@ -7,7 +7,7 @@
 
 	"github.com/google/uuid"
 
-	"foxtailcroft/internal/base/pause"
+	"foxtailcroft/internal/base/sleep"
 	"foxtailcroft/internal/core/fault"
 	"foxtailcroft/internal/plat/store"
 )
@@ -102,7 +102,7 @@
 		case err == nil:
 			return l.resolveRefused(res, key, b.Nonce)
 		}
-		if !pause.For(ctx, retryPause) {
+		if !sleep.For(ctx, retryPause) {
 			l.mu.Lock()
 			l.unconfirmed = &unconfirmedBatch{key, b}
 			l.mu.Unlock()
@@ -122,7 +122,7 @@
 // resolveRefused handles a refused transaction: either an earlier try had been
 // applied and its answer was lost, or the partition has another owner.
 func (l *Log) resolveRefused(res store.Result, key, nonce string) error {
-	for _, kv := range res.Found {
+	for _, kv := range res.Current {
 		if kv.Key == key && decodeBatch(kv.Value).Nonce == nonce {
 			return l.advanceSequence()
 		}
--- a/internal/agent/guard/guard.go
+++ b/internal/agent/fence/guard.go
@@ -1,4 +1,4 @@
-package guard
+package fence
 
 import (
 	"context"
@@ -67,9 +67,9 @@
 	g.lastBeat = now
 }
 
-// Check returns nil if an order may be sent. After a pause it first confirms the
+// CheckEpoch returns nil if an order may be sent. After a pause it first confirms the
 // epoch with the store and returns an *engine.Fenced if the epoch is no longer current.
-func (g *Guard) Check(ctx context.Context) error {
+func (g *Guard) CheckEpoch(ctx context.Context) error {
 	g.recordBeat(time.Now())
 	g.mu.Lock()
 	unconfirmed, epoch := g.unconfirmed, g.epoch
--- a/internal/agent/guard/guard_test.go
+++ b/internal/agent/fence/guard_test.go
@@ -1,4 +1,4 @@
-package guard
+package fence
 
 import (
 	"context"
@@ -13,8 +13,8 @@
 	"foxtailcroft/internal/back/engine"
 	"foxtailcroft/internal/core/plan"
 	"foxtailcroft/internal/plat/store"
-	"foxtailcroft/internal/standin/motor"
-	"foxtailcroft/internal/standin/platf"
+	"foxtailcroft/internal/standin/engsim"
+	"foxtailcroft/internal/standin/kvsim"
 )
 
 // writeNodeRecord writes the node's record with the epoch to the store.
@@ -46,7 +46,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				s := platf.NewMemory(1)
+				s := kvsim.NewMemoryStore(1)
 				writeNodeRecord(g, s, 1)
 				guard := New(s, "e")
 				guard.SetEpoch(1)
@@ -55,13 +55,13 @@
 				if c.hasSuccessor {
 					writeNodeRecord(g, s, 2)
 				}
-				s.SetFaults(platf.Faults{Away: c.storeAway})
-				eng := motor.New(motor.Settings{MemoryBytes: 10, LoadTime: time.Second})
-				err := eng.Load(context.Background(), engine.Order{Item: engine.Item{Model: "m"}, Bytes: 1, Fence: 1, Check: guard.Check})
+				s.SetFaults(kvsim.Faults{Away: c.storeAway})
+				eng := engsim.New(engsim.Settings{MemoryBytes: 10, LoadTime: time.Second})
+				err := eng.Load(context.Background(), engine.Order{Item: engine.Item{Model: "m"}, Bytes: 1, Fence: 1, Authorize: guard.CheckEpoch})
 				var fenced *engine.Fenced
 				g.Expect(err == nil).To(Equal(c.loaded), "%v", err)
 				g.Expect(errors.As(err, &fenced)).To(Equal(c.fenced), "%v", err)
-				g.Expect(eng.Holds()).To(HaveLen(map[bool]int{true: 1}[c.loaded]))
+				g.Expect(eng.LoadedItems()).To(HaveLen(map[bool]int{true: 1}[c.loaded]))
 			})
 		})
 	}
--- a/internal/agent/gate/doc.go
+++ /dev/null
@@ -1,2 +0,0 @@
-// Package gate limits the number of concurrent calls at a plain service's endpoint.
-package gate
--- a/internal/agent/guard/doc.go
+++ /dev/null
@@ -1,2 +0,0 @@
-// Package guard detects that the agent's process was paused and confirms its epoch with the store before the next order.
-package guard
--- a/internal/agent/gate/gate.go
+++ b/internal/agent/limit/gate.go
@@ -1,4 +1,4 @@
-package gate
+package limit
 
 import (
 	"context"
@@ -12,8 +12,8 @@
 	"foxtailcroft/internal/policy/pick"
 )
 
-// Gate limits the number of concurrent calls and queues the others by class.
-type Gate struct {
+// Limiter limits the number of concurrent calls and queues the others by class.
+type Limiter struct {
 	service string
 
 	mu              sync.Mutex
@@ -25,12 +25,12 @@
 }
 
 // New returns a gate with capacity 0: no call runs until SetCapacity is called.
-func New(service string) *Gate {
-	return &Gate{service: service}
+func New(service string) *Limiter {
+	return &Limiter{service: service}
 }
 
 // SetCapacity sets the maximum number of concurrent calls.
-func (g *Gate) SetCapacity(n int) {
+func (g *Limiter) SetCapacity(n int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.capacity = n
@@ -38,19 +38,19 @@
 }
 
 // Load returns the load of the service that the agent sends with its replies.
-func (g *Gate) Load() wire.Load {
+func (g *Limiter) Load() wire.Load {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.loadLocked()
 }
 
-func (g *Gate) loadLocked() wire.Load {
+func (g *Limiter) loadLocked() wire.Load {
 	return wire.Load{Loaded: true, Running: g.running, Queued: g.queued.Len(), Capacity: g.capacity, Service: g.meanServiceTime}
 }
 
 // Acquire waits until the call may run; release ends it. An error is the refusal
 // of a call that did not run.
-func (g *Gate) Acquire(ctx context.Context, class kinds.Class, deadline time.Time) (release func(), err error) {
+func (g *Limiter) Acquire(ctx context.Context, class kinds.Class, deadline time.Time) (release func(), err error) {
 	result := make(chan error, 1)
 	w := &queue.Waiter{Class: class, Deadline: deadline, Resolve: func(refusal error) { result <- refusal }}
 	if err := g.enqueue(w); err != nil {
@@ -72,13 +72,13 @@
 
 // enqueue adds a call to the queue, or refuses it if the queue is full or the
 // call is forecast to miss its deadline.
-func (g *Gate) enqueue(w *queue.Waiter) error {
+func (g *Limiter) enqueue(w *queue.Waiter) error {
 	now := time.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	l := g.loadLocked()
-	wait := pick.Forecast(pick.Replica{Loaded: true, Running: l.Running, Queued: l.Queued, Capacity: l.Capacity, Service: l.Service})
-	if !pick.InTime(wait, l.Service, w.Deadline.Sub(now)) {
+	wait := pick.ForecastWait(pick.Replica{Loaded: true, Running: l.Running, Queued: l.Queued, Capacity: l.Capacity, ServiceTime: l.Service})
+	if !pick.MeetsDeadline(wait, l.Service, w.Deadline.Sub(now)) {
 		return fault.NotRun(fault.DeadlineTooSoon, "service %q is expected to answer in %s", g.service, (wait + l.Service).Round(time.Millisecond)).WithRetryAfter(wait)
 	}
 	if !g.queued.Push(w, now) {
@@ -89,7 +89,7 @@
 }
 
 // startQueued starts queued calls as far as the capacity allows. The caller holds the lock.
-func (g *Gate) startQueued() {
+func (g *Limiter) startQueued() {
 	for {
 		w := g.queued.Pop(func(w *queue.Waiter) bool { return queue.MayStart(w.Class, g.running, g.patientRunning, g.capacity) })
 		if w == nil {
@@ -104,7 +104,7 @@
 }
 
 // newRelease returns the function that records the end of a call and starts queued ones.
-func (g *Gate) newRelease(class kinds.Class) func() {
+func (g *Limiter) newRelease(class kinds.Class) func() {
 	startedAt := time.Now()
 	return sync.OnceFunc(func() {
 		serviceTime := time.Since(startedAt)
--- a/internal/agent/asks/client.go
+++ b/internal/agent/permit/client.go
@@ -1,4 +1,4 @@
-package asks
+package permit
 
 import (
 	"cmp"
--- a/internal/agent/tries/attempt.go
+++ b/internal/agent/runs/attempt.go
@@ -1,4 +1,4 @@
-package tries
+package runs
 
 import (
 	"context"
@@ -111,7 +111,7 @@
 
 // sendPiece sends one piece to the attached entry.
 func (a *Attempt) sendPiece(p wire.Piece) {
-	if a.conn != nil && a.conn.Stream(wire.StreamPiece, &p) != nil {
+	if a.conn != nil && a.conn.SendStream(wire.StreamKindPiece, &p) != nil {
 		a.conn = nil
 	}
 }
@@ -172,9 +172,9 @@
 	a.pieces, a.Body, a.answerBytes = nil, nil, 0
 }
 
-// CutOff ends an attempt because its agent stops: a pending one is refused as
+// Abort ends an attempt because its agent stops: a pending one is refused as
 // not run, a running one is canceled and ends as failed.
-func (a *Attempt) CutOff() {
+func (a *Attempt) Abort() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	switch a.phase {
--- /dev/null
+++ b/internal/agent/runs/doc.go
@@ -0,0 +1,3 @@
+// Package runs is the registry of an agent's attempts: which ran, which were
+// revoked, and the answers that are not yet acknowledged.
+package runs
--- a/internal/agent/tries/registry.go
+++ b/internal/agent/runs/registry.go
@@ -1,4 +1,4 @@
-package tries
+package runs
 
 import (
 	"context"
@@ -161,8 +161,8 @@
 	return r.heldBytes.Load() > maxHeldBytes
 }
 
-// Active returns the attempts that have not ended.
-func (r *Registry) Active() []*Attempt {
+// ActiveAttempts returns the attempts that have not ended.
+func (r *Registry) ActiveAttempts() []*Attempt {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []*Attempt
@@ -176,8 +176,8 @@
 	return out
 }
 
-// Awaited returns the number of attempts that have not ended or whose answer may still be acknowledged.
-func (r *Registry) Awaited() int {
+// AwaitedCount returns the number of attempts that have not ended or whose answer may still be acknowledged.
+func (r *Registry) AwaitedCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n, now := 0, time.Now()
--- a/internal/agent/slots/acquire.go
+++ b/internal/agent/slots/acquire.go
@@ -107,7 +107,7 @@
 // recordArrival updates the arrival statistics for a request that has just been queued.
 func (r *replica) recordArrival(now time.Time, loadTime time.Duration) {
 	idle := r.running == 0 && r.queue.Len() == 1
-	r.coldWaits.Arrived(now, idle, loadTime)
+	r.coldWaits.Arrival(now, idle, loadTime)
 	if idle && !r.lastRequestEnd.IsZero() {
 		r.idleGaps.Observe(now.Sub(r.lastRequestEnd))
 	}
@@ -120,14 +120,14 @@
 	p := v.Plan(plan.ModelKey(req.Model))
 	r := m.replicas[req.Model]
 	replicaLoaded := r != nil && r.phase == loaded
-	s, hasSlot := p.At(m.settings.Node)
+	s, hasSlot := p.SlotAt(m.settings.Node)
 	redirect := m.nextEndpoint(p, req)
 	switch {
 	case m.deposed || m.closed:
 		return fault.NotRun(fault.Deposed, "another agent has taken over endpoint %q", m.settings.Node).WithEndpoint(redirect)
 	case !hasSlot || s.State != plan.Active || (r != nil && r.releasing):
 		return fault.NotRun(fault.NoSlot, "model %q has no active slot at endpoint %q", req.Model, m.settings.Node).WithEndpoint(redirect)
-	case !replicaLoaded && !m.confirmed:
+	case !replicaLoaded && !m.loadsAllowed:
 		return fault.NotRun(fault.StoreAway, "endpoint %q has not read the plan since its start", m.settings.Node).WithEndpoint(redirect)
 	case redirect != "" && !m.canFit(m.missingBytes(v, req, spec)):
 		return fault.NotRun(fault.NoMemory, "endpoint %q is full of busy replicas", m.settings.Node).WithEndpoint(redirect)
@@ -153,12 +153,12 @@
 // redirects one for which adding another replica is quicker than queueing here.
 func (m *Manager) checkForecast(req Request, spec kinds.ModelSpec, r *replica, redirect string, now time.Time) error {
 	load := m.replicaLoad(r, spec)
-	replicaState := pick.Replica{Loaded: load.Loaded, Running: load.Running, Queued: load.Queued, Capacity: load.Capacity, Service: load.Service, Cold: m.remainingLoadTime(r, load.Cold, now)}
-	wait := pick.Forecast(replicaState)
-	if load.Loaded && redirect != "" && pick.Widen(load.Queued+1, load.Capacity, load.Service, load.Cold) {
+	replicaState := pick.Replica{Loaded: load.Loaded, Running: load.Running, Queued: load.Queued, Capacity: load.Capacity, ServiceTime: load.Service, ColdStart: m.remainingLoadTime(r, load.Cold, now)}
+	wait := pick.ForecastWait(replicaState)
+	if load.Loaded && redirect != "" && pick.ShouldForward(load.Queued+1, load.Capacity, load.Service, load.Cold) {
 		return fault.NotRun(fault.Overloaded, "queue of model %q at endpoint %q is long", req.Model, m.settings.Node).WithEndpoint(redirect)
 	}
-	if !pick.InTime(wait, load.Service, req.Deadline.Sub(now)) {
+	if !pick.MeetsDeadline(wait, load.Service, req.Deadline.Sub(now)) {
 		return fault.NotRun(fault.DeadlineTooSoon, "model %q is expected to answer in %s, the deadline is in %s",
 			req.Model, (wait + load.Service).Round(time.Millisecond), req.Deadline.Sub(now).Round(time.Millisecond)).WithRetryAfter(wait).WithEndpoint(redirect)
 	}
@@ -173,14 +173,14 @@
 		return ""
 	}
 	passedSelf := false
-	for _, s := range p.Active() {
+	for _, s := range p.ActiveSlots() {
 		if passedSelf {
 			return s.Endpoint
 		}
 		passedSelf = s.Endpoint == m.settings.Node
 	}
-	if !passedSelf && len(p.Active()) > 0 {
-		return p.Active()[0].Endpoint
+	if !passedSelf && len(p.ActiveSlots()) > 0 {
+		return p.ActiveSlots()[0].Endpoint
 	}
 	return ""
 }
@@ -246,7 +246,7 @@
 }
 
 func (m *Manager) replicaLoad(r *replica, spec kinds.ModelSpec) wire.Load {
-	l := wire.Load{Capacity: spec.Slots(), Cold: spec.ColdStart.Std()}
+	l := wire.Load{Capacity: spec.ConcurrencyLimit(), Cold: spec.ColdStart.Std()}
 	if r == nil {
 		return l
 	}
--- a/internal/agent/slots/evict_test.go
+++ b/internal/agent/slots/evict_test.go
@@ -14,7 +14,7 @@
 	"foxtailcroft/internal/core/kinds"
 	"foxtailcroft/internal/core/plan"
 	"foxtailcroft/internal/core/view"
-	"foxtailcroft/internal/standin/motor"
+	"foxtailcroft/internal/standin/engsim"
 )
 
 // holderWithModels returns a holder whose view shows models of 60 bytes, each with a slot at "e".
@@ -31,7 +31,7 @@
 		add("Model/"+name, kinds.Resource{Kind: kinds.Model, Name: name, Model: &kinds.ModelSpec{Version: "1", MemoryBytes: 60, MaxReplicas: 1}})
 		add(plan.ModelKey(name), plan.Plan{Target: name}.WithSlot("e", "d"))
 	}
-	h.Apply(d)
+	h.ApplyDelta(d)
 	return h
 }
 
@@ -41,11 +41,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		var auditRecords []audit.Record
-		eng := motor.New(motor.Settings{MemoryBytes: 100, LoadTime: time.Second, UnloadTime: time.Second})
-		m, stop := New(Settings{Node: "e", MemoryBytes: 100, OrderTimeout: time.Minute, Note: func(r audit.Record) { auditRecords = append(auditRecords, r) }},
+		eng := engsim.New(engsim.Settings{MemoryBytes: 100, LoadTime: time.Second, UnloadTime: time.Second})
+		m, stop := New(Settings{Node: "e", MemoryBytes: 100, OrderTimeout: time.Minute, RecordEviction: func(r audit.Record) { auditRecords = append(auditRecords, r) }},
 			holderWithModels(g, "first", "second"), eng, noopPermits{}, func() {}, zap.NewNop())
 		defer stop()
-		m.Confirm(1)
+		m.AllowLoads(1)
 		for _, name := range []string{"first", "second"} {
 			grant, err := m.Acquire(context.Background(), Request{Model: name, Deadline: time.Now().Add(time.Minute)})
 			g.Expect(err).NotTo(HaveOccurred())
--- a/internal/agent/slots/fence_test.go
+++ b/internal/agent/slots/fence_test.go
@@ -11,7 +11,7 @@
 
 	"foxtailcroft/internal/back/engine"
 	"foxtailcroft/internal/core/view"
-	"foxtailcroft/internal/standin/motor"
+	"foxtailcroft/internal/standin/engsim"
 )
 
 // delayedEngine delays each load, as a network may deliver an order after its sender has died.
@@ -36,7 +36,7 @@
 func TestDelayedLoadWithOldEpochIsFenced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		eng := motor.New(motor.Settings{MemoryBytes: 100, CheckFence: true, LoadTime: time.Second, ReportLag: time.Second})
+		eng := engsim.New(engsim.Settings{MemoryBytes: 100, CheckFence: true, LoadTime: time.Second, MaxReportAge: time.Second})
 		delayed := delayedEngine{eng, 10 * time.Second}
 		done := make(chan error, 1)
 		time.AfterFunc(0, func() {
@@ -46,9 +46,9 @@
 			view.NewHolder(), eng, noopPermits{}, func() {}, zap.NewNop())
 		defer stop()
 		g.Expect(successor.Recover(context.Background(), 2)).To(Succeed())
-		successor.Confirm(2)
+		successor.AllowLoads(2)
 		var fenced *engine.Fenced
 		g.Expect(<-done).To(BeAssignableToTypeOf(fenced))
-		g.Expect(eng.Holds()).To(BeEmpty())
+		g.Expect(eng.LoadedItems()).To(BeEmpty())
 	})
 }
--- a/internal/agent/slots/item.go
+++ b/internal/agent/slots/item.go
@@ -6,7 +6,7 @@
 	"foxtailcroft/internal/agent/queue"
 	"foxtailcroft/internal/back/engine"
 	"foxtailcroft/internal/core/kinds"
-	"foxtailcroft/internal/policy/keep"
+	"foxtailcroft/internal/policy/idle"
 )
 
 // phase is the state of an item in its load cycle.
@@ -91,10 +91,10 @@
 	patientRunning int
 	// idleGaps records the times from lastRequestEnd to the next arrival.
 	// lastRequestEnd is first set at the end of the first load or at adoption.
-	idleGaps       keep.Gaps
+	idleGaps       idle.Gaps
 	lastRequestEnd time.Time
 	// coldWaits estimates the sum of all requests' waits in one cold start.
-	coldWaits       keep.Crowd
+	coldWaits       idle.BurstWait
 	meanServiceTime time.Duration
 	// requestCount counts requests; coldRequestCount counts those that had to wait for a load.
 	requestCount     int64
--- a/internal/agent/slots/manager.go
+++ b/internal/agent/slots/manager.go
@@ -8,7 +8,7 @@
 	"go.uber.org/zap"
 
 	"foxtailcroft/internal/back/engine"
-	"foxtailcroft/internal/base/crew"
+	"foxtailcroft/internal/base/tasks"
 	"foxtailcroft/internal/core/audit"
 	"foxtailcroft/internal/core/kinds"
 	"foxtailcroft/internal/core/plan"
@@ -25,13 +25,13 @@
 	OrderTimeout time.Duration
 	// ReportLag is the maximum staleness of the engine's reports.
 	ReportLag time.Duration
-	// Grace is how long an order of the endpoint's previous agent may still be in
+	// OldOrderGrace is how long an order of the endpoint's previous agent may still be in
 	// flight. It is 0 for an engine that checks fencing tokens.
-	Grace time.Duration
-	// Check is called before each message of an order; an error stops the message.
-	Check func(context.Context) error
-	// Note records an eviction in the audit trail; it must not block.
-	Note func(audit.Record)
+	OldOrderGrace time.Duration
+	// CheckEpoch is called before each message of an order; an error stops the message.
+	CheckEpoch func(context.Context) error
+	// RecordEviction records an eviction in the audit trail; it must not block.
+	RecordEviction func(audit.Record)
 }
 
 // Permitter obtains permits to load from the weight store.
@@ -48,7 +48,7 @@
 	engine   engine.Engine
 	permits  Permitter
 	log      *zap.Logger
-	group    crew.Group
+	group    tasks.Group
 	ctx      context.Context
 
 	mu       sync.Mutex
@@ -57,11 +57,11 @@
 	strays map[engine.Item]*item
 	// cached gives by model where the engine has its checkpoint, "memory" or "disk", by its last report.
 	cached map[string]string
-	// confirmed is set once the plan has been read from the store itself.
-	confirmed bool
-	deposed   bool
-	closed    bool
-	onDeposed func()
+	// loadsAllowed is set once the plan has been read from the store itself.
+	loadsAllowed bool
+	deposed      bool
+	closed       bool
+	onDeposed    func()
 	// lastView is the view for whose slots replicas were last created.
 	lastView *view.View
 }
@@ -92,7 +92,7 @@
 	tick := time.NewTicker(reconcilePeriod)
 	defer tick.Stop()
 	for {
-		_, changed := m.holder.Changed()
+		_, changed := m.holder.ViewAndChange()
 		m.mu.Lock()
 		m.reconcile(time.Now())
 		m.mu.Unlock()
@@ -105,31 +105,31 @@
 	}
 }
 
-// Confirm allows loads under the epoch. It is called once the plan has been read from the store itself.
-func (m *Manager) Confirm(epoch int64) {
+// AllowLoads allows loads under the epoch. It is called once the plan has been read from the store itself.
+func (m *Manager) AllowLoads(epoch int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.settings.Epoch = epoch
-	m.confirmed = true
+	m.loadsAllowed = true
 	m.reconcile(time.Now())
 }
 
-// Confirmed reports whether Confirm has been called.
-func (m *Manager) Confirmed() bool {
+// LoadsAllowed reports whether Confirm has been called.
+func (m *Manager) LoadsAllowed() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.confirmed
+	return m.loadsAllowed
 }
 
 // localSlot returns the model's slot at this endpoint; false if the view shows none.
 func (m *Manager) localSlot(v *view.View, model string) (plan.Slot, bool) {
-	return v.Plan(plan.ModelKey(model)).At(m.settings.Node)
+	return v.Plan(plan.ModelKey(model)).SlotAt(m.settings.Node)
 }
 
 // mayLoad reports whether this agent may order a load of the model now.
 func (m *Manager) mayLoad(v *view.View, model string) bool {
 	s, ok := m.localSlot(v, model)
-	return ok && s.State == plan.Active && m.confirmed && !m.deposed && !m.closed
+	return ok && s.State == plan.Active && m.loadsAllowed && !m.deposed && !m.closed
 }
 
 // ensureReplica returns the model's replica, creating an unloaded one if
--- a/internal/agent/slots/orders.go
+++ b/internal/agent/slots/orders.go
@@ -9,7 +9,7 @@
 	"go.uber.org/zap"
 
 	"foxtailcroft/internal/back/engine"
-	"foxtailcroft/internal/base/pause"
+	"foxtailcroft/internal/base/sleep"
 	"foxtailcroft/internal/core/audit"
 	"foxtailcroft/internal/core/kinds"
 )
@@ -26,7 +26,7 @@
 	startedAt := time.Now()
 	i.lastLoadStart = startedAt
 	m.log.Info("loading", zap.Stringer("Item", i.name), zap.Int64("Bytes", i.bytes))
-	o := engine.Order{Item: i.name, Bytes: i.bytes, Fence: m.settings.Epoch, Check: m.settings.Check}
+	o := engine.Order{Item: i.name, Bytes: i.bytes, Fence: m.settings.Epoch, Authorize: m.settings.CheckEpoch}
 	m.group.Go(func() {
 		ctx, cancel := context.WithTimeout(m.ctx, m.settings.OrderTimeout)
 		defer cancel()
@@ -45,7 +45,7 @@
 	if m.closed {
 		return
 	}
-	var noMemory *engine.NoMemory
+	var noMemory *engine.OutOfMemory
 	switch {
 	case err == nil:
 		i.recordLoad(took, now)
@@ -108,11 +108,11 @@
 func (m *Manager) evict(candidate string) {
 	model, adapter, isAdapter := strings.Cut(candidate, adapterSeparator)
 	r := m.replicas[model]
-	key := kinds.Key(kinds.Model, model)
+	key := kinds.ResourceKey(kinds.Model, model)
 	if isAdapter {
-		key = kinds.Key(kinds.Adapter, adapter)
+		key = kinds.ResourceKey(kinds.Adapter, adapter)
 	}
-	m.settings.Note(audit.Record{Time: time.Now().UTC(), Actor: m.settings.Node, Action: "Evicted", Key: key})
+	m.settings.RecordEviction(audit.Record{Time: time.Now().UTC(), Actor: m.settings.Node, Action: "Evicted", Key: key})
 	if isAdapter {
 		m.startUnload(r.adapters[adapter], r)
 		return
@@ -127,7 +127,7 @@
 	}
 	i.phase = unloading
 	m.log.Info("unloading", zap.Stringer("Item", i.name))
-	o := engine.Order{Item: i.name, Bytes: i.bytes, Fence: m.settings.Epoch, Check: m.settings.Check}
+	o := engine.Order{Item: i.name, Bytes: i.bytes, Fence: m.settings.Epoch, Authorize: m.settings.CheckEpoch}
 	m.group.Go(func() {
 		err := m.unloadWithRetry(o)
 		m.mu.Lock()
@@ -172,13 +172,13 @@
 // the previous agent that arrive after the read. It then waits for ReportLag
 // and Grace, since other engines still accept such orders.
 func (m *Manager) Recover(ctx context.Context, epoch int64) error {
-	if err := m.engine.Unload(ctx, engine.Order{Item: fenceItem, Fence: epoch, Check: m.settings.Check}); err != nil {
+	if err := m.engine.Unload(ctx, engine.Order{Item: fenceItem, Fence: epoch, Authorize: m.settings.CheckEpoch}); err != nil {
 		m.mu.Lock()
 		defer m.mu.Unlock()
 		m.handleFenced(err)
 		return err
 	}
-	if !pause.For(ctx, m.settings.ReportLag+m.settings.Grace) {
+	if !sleep.For(ctx, m.settings.ReportLag+m.settings.OldOrderGrace) {
 		return ctx.Err()
 	}
 	return m.ReadBack(ctx)
@@ -195,7 +195,7 @@
 	defer m.mu.Unlock()
 	m.cached = report.Cached
 	reported := map[engine.Item]bool{}
-	for _, h := range report.Held {
+	for _, h := range report.Items {
 		reported[h.Item] = true
 		m.recordReported(h, requestedAt)
 	}
@@ -211,7 +211,7 @@
 // recordReported records a reported item that no replica accounts for as a
 // stray. A stray that is still loading counts as used, but is neither adopted
 // nor unloaded until its load has ended.
-func (m *Manager) recordReported(h engine.Held, requestedAt time.Time) {
+func (m *Manager) recordReported(h engine.LoadedItem, requestedAt time.Time) {
 	if s := m.strays[h.Item]; s != nil {
 		if s.phase == loading && !h.Loading {
 			s.phase = loaded
--- a/internal/agent/slots/reconcile.go
+++ b/internal/agent/slots/reconcile.go
@@ -10,7 +10,7 @@
 	"foxtailcroft/internal/core/plan"
 	"foxtailcroft/internal/core/view"
 	"foxtailcroft/internal/policy/evict"
-	"foxtailcroft/internal/policy/keep"
+	"foxtailcroft/internal/policy/idle"
 )
 
 // reconcile starts the loads, unloads and requests that the view, the queues and the time call for.
@@ -25,7 +25,7 @@
 		m.reconcileReplica(v, model, r, now)
 	}
 	for _, s := range m.strays {
-		if s.phase == loaded && m.confirmed && !m.deposed {
+		if s.phase == loaded && m.loadsAllowed && !m.deposed {
 			m.startUnload(s, nil)
 		}
 	}
@@ -106,7 +106,7 @@
 		return true
 	}
 	policy := v.Policy(r.spec.Policy)
-	keepAlive := keep.Alive(&r.idleGaps, keep.Costs{ColdWait: r.coldWaits.Wait(m.expectedLoadTime(r)), Price: policy.ColdStartPrice, Max: policy.MaxKeepAlive.Std()})
+	keepAlive := idle.KeepAlive(&r.idleGaps, idle.Costs{ColdWait: r.coldWaits.Wait(m.expectedLoadTime(r)), ColdStartPrice: policy.ColdStartPrice, MaxKeepAlive: policy.MaxKeepAlive.Std()})
 	return now.Sub(r.lastRequestEnd) < keepAlive
 }
 
@@ -120,7 +120,7 @@
 // isMinReplica reports whether the slot here is among the model's first MinReplicas
 // active ones, which stay loaded without requests.
 func (m *Manager) isMinReplica(v *view.View, model string, r *replica) bool {
-	for i, s := range v.Plan(plan.ModelKey(model)).Active() {
+	for i, s := range v.Plan(plan.ModelKey(model)).ActiveSlots() {
 		if s.Endpoint == m.settings.Node {
 			return i < r.spec.MinReplicas
 		}
@@ -143,7 +143,7 @@
 	r.queue.Each(func(w *queue.Waiter) { m.ensureAdapter(v, r, w, now) })
 	for {
 		w := r.queue.Pop(func(w *queue.Waiter) bool {
-			return queue.MayStart(w.Class, r.running, r.patientRunning, r.spec.Slots()) && m.adapterLoaded(r, w.Adapter)
+			return queue.MayStart(w.Class, r.running, r.patientRunning, r.spec.ConcurrencyLimit()) && m.adapterLoaded(r, w.Adapter)
 		})
 		if w == nil {
 			return
@@ -192,7 +192,7 @@
 		m.startUnload(a, r)
 		return
 	}
-	if a.phase != unloaded || !now.After(r.retryAt) || m.deposed || !m.confirmed || m.hasStray(r.name.Model) {
+	if a.phase != unloaded || !now.After(r.retryAt) || m.deposed || !m.loadsAllowed || m.hasStray(r.name.Model) {
 		return
 	}
 	a.name, a.bytes = want, res.Adapter.MemoryBytes
@@ -307,7 +307,7 @@
 		}
 		out = append(out, evict.Candidate{
 			Name: r.name.Model, Bytes: bytes, ColdStart: m.expectedLoadTime(r), LastUsed: r.idleSince,
-			WantedSoon: r.idleGaps.ShareWithin(now.Sub(r.idleSince), reuseHorizon),
+			ReuseProbability: r.idleGaps.ShareWithin(now.Sub(r.idleSince), reuseHorizon),
 		})
 	}
 	return append(out, m.adapterCandidates(exclude)...)
@@ -323,7 +323,7 @@
 		}
 		for name, a := range r.adapters {
 			if a.phase == loaded && a.running == 0 && !m.adapterQueued(r, name) {
-				out = append(out, evict.Candidate{Name: r.name.Model + adapterSeparator + name, Bytes: a.bytes, ColdStart: a.meanLoadTime, LastUsed: a.idleSince, WantedSoon: 1})
+				out = append(out, evict.Candidate{Name: r.name.Model + adapterSeparator + name, Bytes: a.bytes, ColdStart: a.meanLoadTime, LastUsed: a.idleSince, ReuseProbability: 1})
 			}
 		}
 	}
--- a/internal/agent/slots/report.go
+++ b/internal/agent/slots/report.go
@@ -9,17 +9,17 @@
 	"foxtailcroft/internal/link/wire"
 )
 
-// Released reports whether a slot is released, and if not, why. It is released
+// IsReleased reports whether a slot is released, and if not, why. It is released
 // when the view no longer shows it as active, this agent controls the endpoint,
 // and the engine holds nothing of the model.
-func (m *Manager) Released(model string, number int64) (bool, string) {
+func (m *Manager) IsReleased(model string, number int64) (bool, string) {
 	v := m.holder.View()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if s, ok := m.localSlot(v, model); ok && s.Number == number && s.State == plan.Active {
 		return false, "the slot is active"
 	}
-	if !m.confirmed || m.deposed {
+	if !m.loadsAllowed || m.deposed {
 		return false, "the endpoint is not taken over"
 	}
 	if m.hasStray(model) {
@@ -41,8 +41,8 @@
 	return true, ""
 }
 
-// Describe fills in the memory, the queue length and the items of a report.
-func (m *Manager) Describe(out *wire.Report) {
+// FillReport fills in the memory, the queue length and the items of a report.
+func (m *Manager) FillReport(out *wire.Report) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := time.Now()
--- a/internal/agent/tries/doc.go
+++ /dev/null
@@ -1,3 +0,0 @@
-// Package tries is the registry of an agent's attempts: which ran, which were
-// revoked, and the answers that are not yet acknowledged.
-package tries
--- a/internal/agent/work/model.go
+++ b/internal/agent/worker/model.go
@@ -1,12 +1,12 @@
-package work
+package worker
 
 import (
 	"context"
 	"errors"
 	"time"
 
+	"foxtailcroft/internal/agent/runs"
 	"foxtailcroft/internal/agent/slots"
-	"foxtailcroft/internal/agent/tries"
 	"foxtailcroft/internal/back/engine"
 	"foxtailcroft/internal/core/fault"
 	"foxtailcroft/internal/link/wire"
@@ -16,13 +16,13 @@
 const maxGenerations = 2
 
 // generate runs an attempt on the model engine.
-func (w *Worker) generate(ctx context.Context, a *tries.Attempt) wire.Done {
+func (w *Worker) generate(ctx context.Context, a *runs.Attempt) wire.Done {
 	startedAt := time.Now()
 	grant, err := w.Slots.Acquire(ctx, slots.Request{
 		Model: a.Run.Model, Adapter: a.Run.Adapter, Class: a.Run.Class, Deadline: a.Deadline, Final: a.Run.Final,
 	})
 	if err != nil {
-		return wire.Done{Refusal: fault.Of(err)}
+		return wire.Done{Refusal: fault.AsRefusal(err)}
 	}
 	defer grant.Release()
 	if !a.Begin() {
@@ -39,7 +39,7 @@
 
 // answerStream is the state of an answer that may take more than one generation.
 type answerStream struct {
-	attempt          *tries.Attempt
+	attempt          *runs.Attempt
 	startedAt        time.Time
 	timeToFirstToken time.Duration
 	// nextIndex is the index of the next token, text the answer before it.
@@ -60,12 +60,12 @@
 
 // streamTokens runs the generation, which is resumed once on the same engine if
 // the stream breaks, and returns the finish reason.
-func (w *Worker) streamTokens(ctx context.Context, a *tries.Attempt, grant slots.Grant, s *answerStream) (string, error) {
+func (w *Worker) streamTokens(ctx context.Context, a *runs.Attempt, grant slots.Grant, s *answerStream) (string, error) {
 	for try := 1; ; try++ {
 		finish, err := w.Engine.Generate(ctx, engine.Request{
 			Item: grant.Item, Body: a.Body, Priority: a.Run.Class.Rank(), SkipTokens: s.nextIndex, Prefix: s.text,
 		}, s.emitToken)
-		var broken *engine.Broken
+		var broken *engine.BrokenStream
 		if err == nil || ctx.Err() != nil || try == maxGenerations || !errors.As(err, &broken) {
 			return finish, err
 		}
--- a/internal/agent/work/plain.go
+++ b/internal/agent/worker/plain.go
@@ -1,4 +1,4 @@
-package work
+package worker
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"foxtailcroft/internal/agent/claim"
-	"foxtailcroft/internal/agent/tries"
+	"foxtailcroft/internal/agent/runs"
 	"foxtailcroft/internal/back/plain"
 	"foxtailcroft/internal/core/fault"
 	"foxtailcroft/internal/core/plan"
@@ -16,7 +16,7 @@
 )
 
 // callService runs an attempt on the plain service.
-func (w *Worker) callService(ctx context.Context, a *tries.Attempt) wire.Done {
+func (w *Worker) callService(ctx context.Context, a *runs.Attempt) wire.Done {
 	startedAt := time.Now()
 	if a.Run.Key != "" && !a.Run.Plain.Idempotent {
 		return w.callWithKey(ctx, a, startedAt)
@@ -29,10 +29,10 @@
 }
 
 // dispatch waits until the call may run and makes it once, unless the attempt was revoked.
-func (w *Worker) dispatch(ctx context.Context, a *tries.Attempt) (plain.Answer, *fault.Refusal) {
-	release, err := w.Gate.Acquire(ctx, a.Run.Class, a.Deadline)
+func (w *Worker) dispatch(ctx context.Context, a *runs.Attempt) (plain.Answer, *fault.Refusal) {
+	release, err := w.Limiter.Acquire(ctx, a.Run.Class, a.Deadline)
 	if err != nil {
-		return plain.Answer{}, fault.Of(err)
+		return plain.Answer{}, fault.AsRefusal(err)
 	}
 	defer release()
 	if !a.Begin() {
@@ -53,11 +53,11 @@
 }
 
 // emitAnswer emits a whole answer in pieces and returns the attempt's Done message.
-func emitAnswer(a *tries.Attempt, answer plain.Answer, startedAt time.Time) wire.Done {
+func emitAnswer(a *runs.Attempt, answer plain.Answer, startedAt time.Time) wire.Done {
 	wait := time.Since(startedAt)
 	head := &wire.PlainHead{Status: answer.Status, Header: answer.Header}
 	for data := answer.Body; ; {
-		n := min(len(data), wire.PartBytes)
+		n := min(len(data), wire.MaxPartBytes)
 		a.Emit(0, data[:n], head)
 		head, data = nil, data[n:]
 		if len(data) == 0 {
@@ -68,14 +68,14 @@
 
 // callWithKey runs a call under its idempotency key: it dispatches the call,
 // replays the answer of an earlier one, or refuses it.
-func (w *Worker) callWithKey(ctx context.Context, a *tries.Attempt, startedAt time.Time) wire.Done {
+func (w *Worker) callWithKey(ctx context.Context, a *runs.Attempt, startedAt time.Time) wire.Done {
 	log := w.claimLog(a.Run.Plain.Partition)
 	if owner := w.partitionOwner(a.Run.Plain.Partition); owner.Endpoint != w.Self.Name {
 		return wire.Done{Refusal: fault.NotRun(fault.Deposed, "partition %d of service %q belongs to endpoint %q", a.Run.Plain.Partition, a.Run.Service, owner.Endpoint).WithEndpoint(owner.Endpoint)}
 	}
 	out, err := log.Claim(ctx, a.Run.Key, callDigest(a))
 	if err != nil {
-		return wire.Done{Refusal: fault.Of(err)}
+		return wire.Done{Refusal: fault.AsRefusal(err)}
 	}
 	switch out.State {
 	case claim.Mismatch:
@@ -91,7 +91,7 @@
 }
 
 // dispatchClaimed makes the call of a newly claimed key and records its outcome in the claim log.
-func (w *Worker) dispatchClaimed(ctx context.Context, a *tries.Attempt, log *claim.Log, startedAt time.Time) wire.Done {
+func (w *Worker) dispatchClaimed(ctx context.Context, a *runs.Attempt, log *claim.Log, startedAt time.Time) wire.Done {
 	answer, refusal := w.dispatch(ctx, a)
 	switch {
 	case refusal == nil:
@@ -134,8 +134,8 @@
 	return l
 }
 
-// Expire removes idempotency keys past their retention.
-func (w *Worker) Expire(now time.Time) {
+// ExpireKeys removes idempotency keys past their retention.
+func (w *Worker) ExpireKeys(now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, l := range w.claimLogs {
@@ -144,7 +144,7 @@
 }
 
 // callDigest returns a hash of the call, by which the reuse of a key for a different call is detected.
-func callDigest(a *tries.Attempt) uint64 {
+func callDigest(a *runs.Attempt) uint64 {
 	d := xxhash.New()
 	for _, part := range []string{a.Run.Plain.Method, a.Run.Plain.Path, a.Run.Plain.Query, string(a.Body)} {
 		// Writing to a hash never fails.
--- a/internal/agent/work/work.go
+++ b/internal/agent/worker/work.go
@@ -1,4 +1,4 @@
-package work
+package worker
 
 import (
 	"context"
@@ -9,17 +9,17 @@
 	"go.uber.org/zap"
 
 	"foxtailcroft/internal/agent/claim"
-	"foxtailcroft/internal/agent/gate"
+	"foxtailcroft/internal/agent/limit"
+	"foxtailcroft/internal/agent/runs"
 	"foxtailcroft/internal/agent/slots"
-	"foxtailcroft/internal/agent/tries"
 	"foxtailcroft/internal/back/engine"
 	"foxtailcroft/internal/back/plain"
-	"foxtailcroft/internal/base/crew"
+	"foxtailcroft/internal/base/tasks"
 	"foxtailcroft/internal/core/fault"
 	"foxtailcroft/internal/core/plan"
 	"foxtailcroft/internal/core/view"
+	"foxtailcroft/internal/link/fanout"
 	"foxtailcroft/internal/link/peer"
-	"foxtailcroft/internal/link/spread"
 	"foxtailcroft/internal/link/wire"
 	"foxtailcroft/internal/plat/store"
 )
@@ -28,19 +28,19 @@
 type Worker struct {
 	Self     plan.Node
 	Holder   *view.Holder
-	Registry *tries.Registry
+	Registry *runs.Registry
 	// Incarnation distinguishes this process from earlier ones with the same name.
 	Incarnation int64
 	Log         *zap.Logger
 	// Slots and Engine are set if the agent's back end is a model engine.
 	Slots  *slots.Manager
 	Engine engine.Engine
-	// Gate, Plain and Store are set if it is a plain service.
-	Gate  *gate.Gate
-	Plain plain.Service
-	Store store.Store
+	// Limiter, Plain and Store are set if it is a plain service.
+	Limiter *limit.Limiter
+	Plain   plain.Service
+	Store   store.Store
 
-	group     crew.Group
+	group     tasks.Group
 	draining  atomic.Bool
 	mu        sync.Mutex
 	claimLogs map[int]*claim.Log
@@ -49,8 +49,8 @@
 
 // Register adds the handlers of the worker's messages to a mux.
 func (w *Worker) Register(mux *peer.Mux) {
-	peer.OnNote(mux, wire.MethodPart, func(_ *peer.Conn, p wire.Part) { w.Registry.AddPart(p) })
-	peer.OnNote(mux, wire.MethodAck, func(_ *peer.Conn, a wire.Ack) { w.Registry.Ack(a.Attempt) })
+	peer.OnNotification(mux, wire.MethodPart, func(_ *peer.Conn, p wire.Part) { w.Registry.AddPart(p) })
+	peer.OnNotification(mux, wire.MethodAck, func(_ *peer.Conn, a wire.Ack) { w.Registry.Ack(a.Attempt) })
 	peer.OnCall(mux, wire.MethodRun, w.handleRun)
 	peer.OnCall(mux, wire.MethodRevoke, func(_ context.Context, _ *peer.Conn, r wire.Revoke) (wire.RevokeReply, error) {
 		return wire.RevokeReply{NotRun: w.Registry.Revoke(r.Attempt) && r.Epoch == w.Incarnation}, nil
@@ -95,10 +95,10 @@
 	}
 	a, fresh, err := w.Registry.Open(c, run)
 	if err != nil {
-		return w.runReply(run, fault.Of(err)), nil
+		return w.runReply(run, fault.AsRefusal(err)), nil
 	}
 	if fresh && !w.group.Go(func() { w.execute(a) }) {
-		a.CutOff()
+		a.Abort()
 	}
 	return w.runReply(run, nil), nil
 }
@@ -111,25 +111,25 @@
 func (w *Worker) catchUp(ctx context.Context, c *peer.Conn) {
 	ctx, cancel := context.WithTimeout(ctx, catchUpTimeout)
 	defer cancel()
-	if err := spread.Pull(ctx, c, w.Holder, spread.Pulled{}); err != nil {
-		w.Log.Info("pulling a newer configuration from the caller failed; continuing with the old one", zap.String("From", c.Remote().Node), zap.Error(err))
+	if err := fanout.Pull(ctx, c, w.Holder, fanout.PullOptions{}); err != nil {
+		w.Log.Info("pulling a newer configuration from the caller failed; continuing with the old one", zap.String("From", c.RemoteHello().Node), zap.Error(err))
 	}
 }
 
 func (w *Worker) currentLoad(run wire.Run) wire.Load {
-	if w.Gate != nil {
-		return w.Gate.Load()
+	if w.Limiter != nil {
+		return w.Limiter.Load()
 	}
 	return w.Slots.ReplicaLoad(run.Model)
 }
 
 // execute runs a new attempt to its end.
-func (w *Worker) execute(a *tries.Attempt) {
+func (w *Worker) execute(a *runs.Attempt) {
 	ctx, cancel := context.WithDeadline(a.Ctx, a.Deadline)
 	defer cancel()
 	var d wire.Done
 	switch {
-	case a.Run.Service != "" && w.Gate != nil && a.Run.Service == w.Self.Service:
+	case a.Run.Service != "" && w.Limiter != nil && a.Run.Service == w.Self.Service:
 		d = w.callService(ctx, a)
 	case a.Run.Service == "" && w.Slots != nil:
 		d = w.generate(ctx, a)
--- a/internal/back/conns/conns_test.go
+++ b/internal/back/conns/conns_test.go
@@ -50,7 +50,7 @@
 func request(id string) *Request {
 	return &Request{
 		Method: http.MethodPost, URI: "/p/x?q=1", Host: "h.example", Header: http.Header{"Request-Id": {id}}, Body: []byte("body"),
-		Mine: func(h http.Header) bool { return h.Get("Request-Id") == id },
+		IsOwn: func(h http.Header) bool { return h.Get("Request-Id") == id },
 	}
 }
 
@@ -98,7 +98,7 @@
 					data, err := io.ReadAll(res.Body)
 					g.Expect(err != nil).To(Equal(c.cut))
 					g.Expect(string(data)).To(Equal(c.body))
-					res.Done(err == nil)
+					res.Finish(err == nil)
 					g.Expect(len(p.idle[Target{}]) > 0).To(Equal(c.reusable))
 				}
 				closePool()
@@ -164,7 +164,7 @@
 		g.Expect(err).NotTo(HaveOccurred())
 		_, err = io.ReadAll(res.Body)
 		g.Expect(err).To(HaveOccurred())
-		res.Done(false)
+		res.Finish(false)
 		closePool()
 		s.group.Wait()
 	})
--- a/internal/back/conns/dial.go
+++ b/internal/back/conns/dial.go
@@ -20,14 +20,14 @@
 // KeepAlive configures TCP keep-alive probes, which detect dead idle connections.
 var KeepAlive = net.KeepAliveConfig{Enable: true, Idle: probeInterval, Interval: probeInterval, Count: probeCount}
 
-// TCP dials over IPv4 with keep-alive probes and TCP_USER_TIMEOUT.
-func TCP(ctx context.Context, address string) (net.Conn, error) {
-	d := net.Dialer{KeepAliveConfig: KeepAlive, Control: Control}
+// DialTCP dials over IPv4 with keep-alive probes and TCP_USER_TIMEOUT.
+func DialTCP(ctx context.Context, address string) (net.Conn, error) {
+	d := net.Dialer{KeepAliveConfig: KeepAlive, Control: SetUserTimeout}
 	return d.DialContext(ctx, "tcp4", address)
 }
 
-// Control sets TCP_USER_TIMEOUT on a socket; it fits net.Dialer.Control.
-func Control(_, _ string, raw syscall.RawConn) error {
+// SetUserTimeout sets TCP_USER_TIMEOUT on a socket; it fits net.Dialer.Control.
+func SetUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var err error
 	if controlErr := raw.Control(func(fd uintptr) {
 		err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(maxUnacknowledgedTime.Milliseconds()))
--- a/internal/back/conns/exchange.go
+++ b/internal/back/conns/exchange.go
@@ -25,10 +25,10 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Mine reports whether a response belongs to this request rather than to an earlier one; nil accepts any.
-	Mine func(http.Header) bool
-	// Fresh requires a new connection.
-	Fresh bool
+	// IsOwn reports whether a response belongs to this request rather than to an earlier one; nil accepts any.
+	IsOwn func(http.Header) bool
+	// NewConnection requires a new connection.
+	NewConnection bool
 }
 
 // Failure is the error of a request without a response.
@@ -53,8 +53,8 @@
 	Status int
 	Header http.Header
 	Body   io.Reader
-	// Framed is false if the body ends only with the connection.
-	Framed           bool
+	// HasLength is false if the body ends only with the connection.
+	HasLength        bool
 	pool             *Pool
 	target           Target
 	conn             *conn
@@ -81,13 +81,13 @@
 		return nil, &Failure{Sent: sent, Err: err}
 	}
 	return &Response{
-		Status: res.StatusCode, Header: res.Header, Body: res.Body, Framed: res.ContentLength >= 0 || len(res.TransferEncoding) > 0,
+		Status: res.StatusCode, Header: res.Header, Body: res.Body, HasLength: res.ContentLength >= 0 || len(res.TransferEncoding) > 0,
 		pool: p, target: t, conn: c, stopContextClose: stop, closeRequested: res.Close,
 	}, nil
 }
 
 func (p *Pool) idleConnection(t Target, r *Request) *conn {
-	if r.Fresh {
+	if r.NewConnection {
 		return nil
 	}
 	c := p.takeIdle(t)
@@ -125,7 +125,7 @@
 		if res.StatusCode < http.StatusOK {
 			continue
 		}
-		if r.Mine == nil || r.Mine(res.Header) {
+		if r.IsOwn == nil || r.IsOwn(res.Header) {
 			return res, nil
 		}
 		if _, err := io.Copy(io.Discard, res.Body); err != nil {
@@ -153,11 +153,11 @@
 	return b.Bytes()
 }
 
-// Done ends the exchange. The connection returns to the pool only if the body
+// Finish ends the exchange. The connection returns to the pool only if the body
 // was read to its end (whole), no bytes follow it, and neither side asked to
 // close.
-func (r *Response) Done(whole bool) {
-	if !r.stopContextClose() || !whole || r.closeRequested || !r.Framed || r.conn.reader.Buffered() > 0 {
+func (r *Response) Finish(whole bool) {
+	if !r.stopContextClose() || !whole || r.closeRequested || !r.HasLength || r.conn.reader.Buffered() > 0 {
 		r.conn.close()
 		return
 	}
@@ -170,5 +170,5 @@
 // Discard ends an exchange whose body is not needed.
 func (r *Response) Discard() {
 	n, err := io.Copy(io.Discard, io.LimitReader(r.Body, maxDiscardBytes))
-	r.Done(err == nil && n < maxDiscardBytes)
+	r.Finish(err == nil && n < maxDiscardBytes)
 }
--- a/internal/back/conns/pool.go
+++ b/internal/back/conns/pool.go
@@ -30,7 +30,7 @@
 
 // Target is the instance that a request is for, and its address.
 type Target struct {
-	site.Key
+	site.InstanceKey
 	Address string
 }
 
@@ -73,8 +73,8 @@
 	}
 }
 
-// Connected reports whether the pool has a reusable idle connection to a target.
-func (p *Pool) Connected(t Target) bool {
+// HasIdle reports whether the pool has a reusable idle connection to a target.
+func (p *Pool) HasIdle(t Target) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
@@ -106,14 +106,14 @@
 }
 
 // Sweep closes connections past their reuse time, and those to instances for which keep is false.
-func (p *Pool) Sweep(keep func(site.Key) bool) {
+func (p *Pool) Sweep(keep func(site.InstanceKey) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
 	for t, list := range p.idle {
 		var stay []*conn
 		for _, c := range list {
-			if keep(t.Key) && now.Before(c.reuseDeadline) {
+			if keep(t.InstanceKey) && now.Before(c.reuseDeadline) {
 				stay = append(stay, c)
 				continue
 			}
@@ -131,7 +131,7 @@
 	p.mu.Lock()
 	p.closed = true
 	p.mu.Unlock()
-	p.Sweep(func(site.Key) bool { return false })
+	p.Sweep(func(site.InstanceKey) bool { return false })
 }
 
 // reuseTime returns how long a connection may be reused after a response with this Keep-Alive header.
--- a/internal/back/engine/client.go
+++ b/internal/back/engine/client.go
@@ -73,7 +73,7 @@
 func (c *Client) orderOnce(ctx context.Context, path string, o Order) (done bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	if err := o.Allowed(ctx); err != nil {
+	if err := o.Authorized(ctx); err != nil {
 		var fenced *Fenced
 		if errors.As(err, &fenced) {
 			return false, backoff.Permanent(err)
@@ -94,15 +94,15 @@
 	}
 	var p problemBody
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxProblemBytes)).Decode(&p); err != nil {
-		return false, &fault.Away{Part: "engine", Err: fmt.Errorf("%s answered %s", path, resp.Status), Unsettled: true}
+		return false, &fault.Unavailable{Service: "engine", Err: fmt.Errorf("%s answered %s", path, resp.Status), MayHaveApplied: true}
 	}
 	switch resp.StatusCode {
 	case http.StatusConflict:
 		return false, backoff.Permanent(&Fenced{Given: o.Fence, Current: p.Fence})
 	case http.StatusInsufficientStorage:
-		return false, backoff.Permanent(&NoMemory{Item: o.Item, Free: p.FreeBytes})
+		return false, backoff.Permanent(&OutOfMemory{Item: o.Item, Free: p.FreeBytes})
 	}
-	return false, &fault.Away{Part: "engine", Err: fmt.Errorf("%s answered %s: %s", path, resp.Status, p.Error), Unsettled: true}
+	return false, &fault.Unavailable{Service: "engine", Err: fmt.Errorf("%s answered %s: %s", path, resp.Status, p.Error), MayHaveApplied: true}
 }
 
 const (
@@ -133,19 +133,19 @@
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return Report{}, &fault.Away{Part: "engine", Err: err}
+		return Report{}, &fault.Unavailable{Service: "engine", Err: err}
 	}
 	defer func() { _ = resp.Body.Close() }()
 	var body reportBody
 	if resp.StatusCode != http.StatusOK {
-		return Report{}, &fault.Away{Part: "engine", Err: fmt.Errorf("report answered %s", resp.Status)}
+		return Report{}, &fault.Unavailable{Service: "engine", Err: fmt.Errorf("report answered %s", resp.Status)}
 	}
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxReportBytes)).Decode(&body); err != nil {
-		return Report{}, &fault.Away{Part: "engine", Err: err}
+		return Report{}, &fault.Unavailable{Service: "engine", Err: err}
 	}
 	r := Report{MemoryBytes: body.MemoryBytes, Running: body.Running, Cached: body.Cached}
 	for _, i := range body.Items {
-		r.Held = append(r.Held, Held{Item: Item{Model: i.Model, Adapter: i.Adapter, Version: i.Version}, Bytes: i.Bytes, Loading: i.State == "loading"})
+		r.Items = append(r.Items, LoadedItem{Item: Item{Model: i.Model, Adapter: i.Adapter, Version: i.Version}, Bytes: i.Bytes, Loading: i.State == "loading"})
 	}
 	return r, nil
 }
@@ -162,7 +162,7 @@
 	req.Header.Set("Content-Type", "application/json")
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return nil, &fault.Away{Part: "engine", Err: err, Unsettled: true}
+		return nil, &fault.Unavailable{Service: "engine", Err: err, MayHaveApplied: true}
 	}
 	return resp, nil
 }
--- a/internal/back/engine/engine.go
+++ b/internal/back/engine/engine.go
@@ -28,20 +28,20 @@
 	Item  Item
 	Bytes int64
 	Fence int64
-	// Check, if not nil, is called before each call of the order; a *Fenced error ends the order.
-	Check func(context.Context) error
+	// Authorize, if not nil, is called before each call of the order; a *Fenced error ends the order.
+	Authorize func(context.Context) error
 }
 
-// Allowed calls Check; nil if there is none.
-func (o Order) Allowed(ctx context.Context) error {
-	if o.Check == nil {
+// Authorized calls Check; nil if there is none.
+func (o Order) Authorized(ctx context.Context) error {
+	if o.Authorize == nil {
 		return nil
 	}
-	return o.Check(ctx)
+	return o.Authorize(ctx)
 }
 
-// Held is an item that is loaded or loading into accelerator memory.
-type Held struct {
+// LoadedItem is an item that is loaded or loading into accelerator memory.
+type LoadedItem struct {
 	Item  Item
 	Bytes int64
 	// Loading is true until the item can serve.
@@ -51,7 +51,7 @@
 // Report is an engine's report of its state, which may lag behind.
 type Report struct {
 	MemoryBytes int64
-	Held        []Held
+	Items       []LoadedItem
 	Running     int
 	// Cached maps a model to where its checkpoint is cached: "memory" or "disk".
 	Cached map[string]string
@@ -95,14 +95,14 @@
 	return fmt.Sprintf("order with fencing number %d refused, the engine has seen %d", f.Given, f.Current)
 }
 
-// NoMemory is the error of a load that does not fit; Free is in bytes.
-type NoMemory struct {
+// OutOfMemory is the error of a load that does not fit; Free is in bytes.
+type OutOfMemory struct {
 	Item Item
 	Free int64
 }
 
 // Error returns a message with the item and the free memory.
-func (n *NoMemory) Error() string {
+func (n *OutOfMemory) Error() string {
 	return fmt.Sprintf("no accelerator memory for %s: %d bytes free", n.Item, n.Free)
 }
 
@@ -127,19 +127,19 @@
 	return fmt.Sprintf("engine answered %d: %s", r.Status, r.Message)
 }
 
-// Broken is the error of a stream that ended before its end marker; Tokens is the index of the next expected token.
-type Broken struct {
+// BrokenStream is the error of a stream that ended before its end marker; Tokens is the index of the next expected token.
+type BrokenStream struct {
 	Tokens int
 	Err    error
 }
 
 // Error returns a message with the token count and the cause.
-func (b *Broken) Error() string {
+func (b *BrokenStream) Error() string {
 	return fmt.Sprintf("stream ended after %d tokens without its end marker: %v", b.Tokens, b.Err)
 }
 
 // Unwrap returns the cause.
-func (b *Broken) Unwrap() error {
+func (b *BrokenStream) Unwrap() error {
 	return b.Err
 }
 
--- a/internal/back/engine/stream.go
+++ b/internal/back/engine/stream.go
@@ -97,7 +97,7 @@
 	case resp.StatusCode < http.StatusInternalServerError:
 		return &Rejected{Status: resp.StatusCode, Message: string(text)}
 	}
-	return &fault.Away{Part: "engine", Err: fmt.Errorf("answered %s: %s", resp.Status, text), Unsettled: true}
+	return &fault.Unavailable{Service: "engine", Err: fmt.Errorf("answered %s: %s", resp.Status, text), MayHaveApplied: true}
 }
 
 // streamReader is the parser state of one event stream.
@@ -132,7 +132,7 @@
 }
 
 func (r *streamReader) brokenError(err error) error {
-	return &Broken{Tokens: r.nextIndex, Err: err}
+	return &BrokenStream{Tokens: r.nextIndex, Err: err}
 }
 
 // readLine parses one line of the stream.
--- a/internal/back/engine/stream_test.go
+++ b/internal/back/engine/stream_test.go
@@ -39,7 +39,7 @@
 			g := NewWithT(t)
 			text := ""
 			_, err := readStream(strings.NewReader(c.body), c.skip, func(t Token) error { text += t.Text; return nil })
-			var broken *Broken
+			var broken *BrokenStream
 			g.Expect(errors.As(err, &broken)).To(Equal(c.broken), "%v", err)
 			g.Expect(text).To(Equal(c.text))
 		})
--- a/internal/back/plain/plain.go
+++ b/internal/back/plain/plain.go
@@ -51,18 +51,18 @@
 	return n.Err
 }
 
-// Lost is the error of a call that may have run but whose complete response was not received.
-type Lost struct {
+// LostResponse is the error of a call that may have run but whose complete response was not received.
+type LostResponse struct {
 	Err error
 }
 
 // Error returns a message with the cause.
-func (l *Lost) Error() string {
+func (l *LostResponse) Error() string {
 	return fmt.Sprintf("answer lost: %v", l.Err)
 }
 
 // Unwrap returns the cause.
-func (l *Lost) Unwrap() error {
+func (l *LostResponse) Unwrap() error {
 	return l.Err
 }
 
@@ -117,15 +117,15 @@
 		if errors.As(err, &dial) && dial.Op == "dial" {
 			return Answer{}, &NotSent{err}
 		}
-		return Answer{}, &Lost{err}
+		return Answer{}, &LostResponse{err}
 	}
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes+1))
 	if err != nil {
-		return Answer{}, &Lost{err}
+		return Answer{}, &LostResponse{err}
 	}
 	if len(body) > maxAnswerBytes {
-		return Answer{}, &Lost{fmt.Errorf("answer exceeds %d bytes", maxAnswerBytes)}
+		return Answer{}, &LostResponse{fmt.Errorf("answer exceeds %d bytes", maxAnswerBytes)}
 	}
 	return Answer{Status: resp.StatusCode, Header: resp.Header, Body: body}, nil
 }
--- a/internal/base/conf/conf_test.go
+++ b/internal/base/conf/conf_test.go
@@ -25,21 +25,21 @@
 func TestErrorNamesFileLineFieldAndValue(t *testing.T) {
 	cases := []struct {
 		name, text string
-		want       Wrong
+		want       InvalidSetting
 	}{
-		{"unknown field", "Node:\n  Nam: x\n", Wrong{Line: 2, Field: "Nam"}},
-		{"bad duration", "GoneAfter: soon\n", Wrong{Line: 1, Field: "GoneAfter", Value: "soon"}},
-		{"bad duration in braces", "Node: {Name: a, Region: r, Domain: d}\nDrain: {Notice: 1s, Limit: 5}\n", Wrong{Line: 2, Field: "Limit", Value: "5"}},
-		{"wrong type", "Requests:\n  MaxInFlight: many\n", Wrong{Line: 2, Field: "MaxInFlight", Value: "many"}},
-		{"missing address", "Node: {Name: a, Region: r, Domain: d}\nListen:\n  Peers: 127.0.0.1:1\n", Wrong{Line: 3, Field: "Listen.Callers"}},
-		{"bad address", "Node: {Name: a, Region: r, Domain: d}\nListen:\n  Callers: here\n", Wrong{Line: 3, Field: "Listen.Callers", Value: "here"}},
+		{"unknown field", "Node:\n  Nam: x\n", InvalidSetting{Line: 2, Field: "Nam"}},
+		{"bad duration", "GoneAfter: soon\n", InvalidSetting{Line: 1, Field: "GoneAfter", Value: "soon"}},
+		{"bad duration in braces", "Node: {Name: a, Region: r, Domain: d}\nDrain: {Notice: 1s, Limit: 5}\n", InvalidSetting{Line: 2, Field: "Limit", Value: "5"}},
+		{"wrong type", "Requests:\n  MaxInFlight: many\n", InvalidSetting{Line: 2, Field: "MaxInFlight", Value: "many"}},
+		{"missing address", "Node: {Name: a, Region: r, Domain: d}\nListen:\n  Peers: 127.0.0.1:1\n", InvalidSetting{Line: 3, Field: "Listen.Callers"}},
+		{"bad address", "Node: {Name: a, Region: r, Domain: d}\nListen:\n  Callers: here\n", InvalidSetting{Line: 3, Field: "Listen.Callers", Value: "here"}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
 			entry := DefaultEntry()
 			err := Decode("f.yaml", []byte(c.text), &entry)
-			var w *Wrong
+			var w *InvalidSetting
 			g.Expect(errors.As(err, &w)).To(BeTrue(), "%v", err)
 			g.Expect(w.File).To(Equal("f.yaml"))
 			g.Expect(w.Field).To(Equal(c.want.Field), "%v", err)
@@ -66,6 +66,6 @@
 		// Most documents are invalid, so errors are expected.
 		_ = Decode("fuzz", doc, &entry)
 		_ = Decode("fuzz", doc, &agent)
-		_, _ = Resources("fuzz", doc)
+		_, _ = DecodeResources("fuzz", doc)
 	})
 }
--- a/internal/base/conf/load.go
+++ b/internal/base/conf/load.go
@@ -16,8 +16,8 @@
 	"foxtailcroft/internal/core/kinds"
 )
 
-// Wrong reports an invalid field of a settings or resource file.
-type Wrong struct {
+// InvalidSetting reports an invalid field of a settings or resource file.
+type InvalidSetting struct {
 	File  string
 	Line  int
 	Field string
@@ -26,7 +26,7 @@
 }
 
 // Error returns the file, the line if known, the field, its value if there is one, and the rule.
-func (w *Wrong) Error() string {
+func (w *InvalidSetting) Error() string {
 	location := w.File
 	if w.Line > 0 {
 		location = fmt.Sprintf("%s:%d", w.File, w.Line)
@@ -37,8 +37,8 @@
 	return fmt.Sprintf("%s: field %s: value %q %s", location, w.Field, w.Value, w.Rule)
 }
 
-// Read decodes a settings file into out, which holds the defaults, and validates it.
-func Read(file string, out any) error {
+// ReadFile decodes a settings file into out, which holds the defaults, and validates it.
+func ReadFile(file string, out any) error {
 	data, err := os.ReadFile(file)
 	if err != nil {
 		return err
@@ -54,10 +54,10 @@
 		return decodeError(file, data, err)
 	}
 	if err := dec.Decode(&yaml.Node{}); !errors.Is(err, io.EOF) {
-		return &Wrong{File: file, Field: "document", Rule: "must be the only one in the file"}
+		return &InvalidSetting{File: file, Field: "document", Rule: "must be the only one in the file"}
 	}
-	for _, f := range kinds.CheckStruct("", out) {
-		return &Wrong{File: file, Line: lineOfPath(data, f.Path), Field: f.Path, Value: f.Value, Rule: f.Rule}
+	for _, f := range kinds.ValidateStruct("", out) {
+		return &InvalidSetting{File: file, Line: lineOfPath(data, f.Path), Field: f.Path, Value: f.Value, Rule: f.Rule}
 	}
 	return nil
 }
@@ -72,19 +72,19 @@
 func decodeError(file string, data []byte, err error) error {
 	text := err.Error()
 	if m := unknownField.FindStringSubmatch(text); m != nil {
-		return &Wrong{File: file, Line: parseLineNumber(m[1]), Field: m[2], Rule: "is not a known field"}
+		return &InvalidSetting{File: file, Line: parseLineNumber(m[1]), Field: m[2], Rule: "is not a known field"}
 	}
 	if m := typeMismatch.FindStringSubmatch(text); m != nil {
 		line := parseLineNumber(m[1])
-		return &Wrong{File: file, Line: line, Field: fieldOnLine(data, line), Value: m[2], Rule: "must be " + m[3]}
+		return &InvalidSetting{File: file, Line: line, Field: fieldOnLine(data, line), Value: m[2], Rule: "must be " + m[3]}
 	}
 	if m := lineNumber.FindStringSubmatch(text); m != nil {
 		line := parseLineNumber(m[1])
 		field, value := quotedField(lineText(data, line), text)
 		_, reason, _ := strings.Cut(text, m[0]+": ")
-		return &Wrong{File: file, Line: line, Field: field, Value: value, Rule: "is not valid: " + reason}
+		return &InvalidSetting{File: file, Line: line, Field: field, Value: value, Rule: "is not valid: " + reason}
 	}
-	return &Wrong{File: file, Field: "document", Rule: "is not valid: " + text}
+	return &InvalidSetting{File: file, Field: "document", Rule: "is not valid: " + text}
 }
 
 func parseLineNumber(s string) int {
@@ -153,9 +153,9 @@
 	return nil
 }
 
-// Resources decodes and validates the resources in a file of one or more YAML
+// DecodeResources decodes and validates the resources in a file of one or more YAML
 // documents; errors name the file, the line and the field.
-func Resources(file string, data []byte) ([]kinds.Resource, error) {
+func DecodeResources(file string, data []byte) ([]kinds.Resource, error) {
 	dec := yaml.NewDecoder(bytes.NewReader(data))
 	var out []kinds.Resource
 	for {
@@ -192,7 +192,7 @@
 	if err := dec.Decode(&envelope); err != nil {
 		return kinds.Resource{}, shiftLine(decodeError(file, data, err), offset)
 	}
-	r, err := kinds.Empty(envelope.Kind, envelope.Name)
+	r, err := kinds.NewResource(envelope.Kind, envelope.Name)
 	if err != nil {
 		return r, withLocation(file, doc, err)
 	}
@@ -203,7 +203,7 @@
 	dec = yaml.NewDecoder(bytes.NewReader(spec))
 	dec.KnownFields(true)
 	if err := dec.Decode(r.Spec()); err != nil && !errors.Is(err, io.EOF) {
-		var w *Wrong
+		var w *InvalidSetting
 		if errors.As(decodeError(file, spec, err), &w) {
 			w.Field = "Spec." + w.Field
 			if line := lineOfKey(doc, strings.TrimPrefix(w.Field, "Spec.")); line > 0 {
@@ -212,7 +212,7 @@
 			return r, w
 		}
 	}
-	return r, withLocation(file, doc, kinds.Check(r))
+	return r, withLocation(file, doc, kinds.Validate(r))
 }
 
 // withLocation turns field errors into a *Wrong with file and line, and returns other errors as they are.
@@ -220,8 +220,8 @@
 	if err == nil {
 		return nil
 	}
-	var fieldErr *fault.Field
-	var fieldErrs *fault.Fields
+	var fieldErr *fault.InvalidField
+	var fieldErrs *fault.InvalidFields
 	switch {
 	case errors.As(err, &fieldErr):
 	case errors.As(err, &fieldErrs):
@@ -234,7 +234,7 @@
 	if keyLine := lineOfKey(doc, parts[len(parts)-1]); keyLine > 0 {
 		line = keyLine
 	}
-	return &Wrong{File: file, Line: line, Field: fieldErr.Path, Value: fieldErr.Value, Rule: fieldErr.Rule}
+	return &InvalidSetting{File: file, Line: line, Field: fieldErr.Path, Value: fieldErr.Value, Rule: fieldErr.Rule}
 }
 
 // lineOfKey returns the line of the first mapping key with the name below a node; 0 if there is none.
@@ -251,7 +251,7 @@
 }
 
 func shiftLine(err error, lines int) error {
-	var w *Wrong
+	var w *InvalidSetting
 	if errors.As(err, &w) {
 		w.Line += lines
 	}
--- a/internal/base/conf/settings.go
+++ b/internal/base/conf/settings.go
@@ -152,7 +152,7 @@
 // ReadAgent reads the settings of an agent from a file, completed by the defaults.
 func ReadAgent(file string) (Agent, error) {
 	a := DefaultAgent()
-	if err := Read(file, &a); err != nil {
+	if err := ReadFile(file, &a); err != nil {
 		return a, err
 	}
 	if a.Engine != nil && a.Engine.OrderTimeout == 0 {
@@ -164,5 +164,5 @@
 // ReadEntry reads the settings of an entry from a file, completed by the defaults.
 func ReadEntry(file string) (Entry, error) {
 	e := DefaultEntry()
-	return e, Read(file, &e)
+	return e, ReadFile(file, &e)
 }
--- a/internal/base/crew/doc.go
+++ /dev/null
@@ -1,2 +0,0 @@
-// Package crew provides a goroutine group that can be closed while other goroutines still start new ones in it.
-package crew
--- a/internal/base/logs/bounded.go
+++ b/internal/base/logs/bounded.go
@@ -9,10 +9,10 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// Bounded writes log lines asynchronously. When a buffer is full it drops and counts
+// AsyncWriter writes log lines asynchronously. When a buffer is full it drops and counts
 // lines, so that a slow reader of the log blocks no caller. Warnings and errors have
 // a buffer of their own and are written first.
-type Bounded struct {
+type AsyncWriter struct {
 	urgent  lineBuffer
 	routine lineBuffer
 }
@@ -33,10 +33,10 @@
 	return len(line), nil
 }
 
-// NewBounded returns a writer with a buffer of the given number of lines for each
+// NewAsyncWriter returns a writer with a buffer of the given number of lines for each
 // priority, and a function that writes the buffered lines and stops it.
-func NewBounded(w io.Writer, lines int) (*Bounded, func()) {
-	b := &Bounded{urgent: lineBuffer{lines: make(chan []byte, lines)}, routine: lineBuffer{lines: make(chan []byte, lines)}}
+func NewAsyncWriter(w io.Writer, lines int) (*AsyncWriter, func()) {
+	b := &AsyncWriter{urgent: lineBuffer{lines: make(chan []byte, lines)}, routine: lineBuffer{lines: make(chan []byte, lines)}}
 	var group conc.WaitGroup
 	group.Go(func() { b.writeLines(w) })
 	return b, func() {
@@ -47,7 +47,7 @@
 }
 
 // writeLines writes lines until both buffers are closed and empty, urgent ones first.
-func (b *Bounded) writeLines(w io.Writer) {
+func (b *AsyncWriter) writeLines(w io.Writer) {
 	urgent, routine := b.urgent.lines, b.routine.lines
 	for urgent != nil || routine != nil {
 		var line []byte
@@ -77,13 +77,13 @@
 }
 
 // Dropped returns the numbers of urgent and routine lines dropped so far.
-func (b *Bounded) Dropped() (urgent, routine int64) {
+func (b *AsyncWriter) Dropped() (urgent, routine int64) {
 	return b.urgent.dropped.Load(), b.routine.dropped.Load()
 }
 
-// NewSplit returns a logger of JSON lines for a node that writes to b: warnings and
+// NewAsync returns a logger of JSON lines for a node that writes to b: warnings and
 // errors as urgent lines, all others as routine. An unknown level is an error.
-func NewSplit(b *Bounded, level, node string) (*zap.Logger, error) {
+func NewAsync(b *AsyncWriter, level, node string) (*zap.Logger, error) {
 	minLevel, err := zapcore.ParseLevel(level)
 	if err != nil {
 		return nil, err
--- a/internal/base/logs/bounded_test.go
+++ b/internal/base/logs/bounded_test.go
@@ -32,8 +32,8 @@
 		g := NewWithT(t)
 		writer := &blockedWriter{unblock: make(chan struct{})}
 		const buffer, lines = 100, 1000
-		b, closeBounded := NewBounded(writer, buffer)
-		log, err := NewSplit(b, "info", "front-1")
+		b, closeBounded := NewAsyncWriter(writer, buffer)
+		log, err := NewAsync(b, "info", "front-1")
 		g.Expect(err).NotTo(HaveOccurred())
 		start := time.Now()
 		for i := range lines {
@@ -57,8 +57,8 @@
 }
 
 func BenchmarkBlockedWriter(b *testing.B) {
-	bounded, closeBounded := NewBounded(&blockedWriter{unblock: make(chan struct{})}, 4096)
-	log, err := NewSplit(bounded, "info", "front-1")
+	bounded, closeBounded := NewAsyncWriter(&blockedWriter{unblock: make(chan struct{})}, 4096)
+	log, err := NewAsync(bounded, "info", "front-1")
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/base/logs/logs.go
+++ b/internal/base/logs/logs.go
@@ -28,8 +28,8 @@
 	})
 }
 
-// Audit returns a function that writes complete audit records to the log.
-func Audit(log *zap.Logger) func(audit.Record) {
+// AuditLogger returns a function that writes complete audit records to the log.
+func AuditLogger(log *zap.Logger) func(audit.Record) {
 	log = log.Named("Audit")
 	return func(r audit.Record) {
 		log.Info("changed", zap.String("Actor", r.Actor), zap.String("Action", r.Action), zap.String("Key", r.Key),
--- a/internal/base/pause/doc.go
+++ /dev/null
@@ -1,2 +0,0 @@
-// Package pause provides a sleep that ends early when its context does.
-package pause
--- a/internal/base/pause/pause.go
+++ b/internal/base/sleep/pause.go
@@ -1,4 +1,4 @@
-package pause
+package sleep
 
 import (
 	"context"
--- a/internal/base/crew/crew.go
+++ b/internal/base/tasks/crew.go
@@ -1,4 +1,4 @@
-package crew
+package tasks
 
 import (
 	"sync"
--- a/internal/base/tree/tree.go
+++ b/internal/base/tree/tree.go
@@ -18,43 +18,43 @@
 	maxRestartDelay     = 10 * time.Second
 )
 
-// Failed reports a part whose failure stops the process.
-type Failed struct {
+// Failure reports a part whose failure stops the process.
+type Failure struct {
 	Part string
 	Err  error
 }
 
 // Error returns the name of the part and the cause.
-func (f *Failed) Error() string {
+func (f *Failure) Error() string {
 	return fmt.Sprintf("part %s failed: %v", f.Part, f.Err)
 }
 
 // Unwrap returns the error of the part.
-func (f *Failed) Unwrap() error {
+func (f *Failure) Unwrap() error {
 	return f.Err
 }
 
-// Tree supervises the parts of one process, each of which runs in a goroutine.
-type Tree struct {
+// Supervisor supervises the parts of one process, each of which runs in a goroutine.
+type Supervisor struct {
 	log      *zap.Logger
 	ctx      context.Context
 	cancel   context.CancelFunc
 	group    conc.WaitGroup
-	failed   chan *Failed
+	failed   chan *Failure
 	mu       sync.Mutex
 	cleanups []func()
 }
 
 // New returns an empty tree and a function that cancels the parts' context, runs the
 // clean-ups, newest first, and waits for the parts to end.
-func New(ctx context.Context, log *zap.Logger) (*Tree, func()) {
+func New(ctx context.Context, log *zap.Logger) (*Supervisor, func()) {
 	ctx, cancel := context.WithCancel(ctx)
-	t := &Tree{log: log, ctx: ctx, cancel: cancel, failed: make(chan *Failed, 1)}
+	t := &Supervisor{log: log, ctx: ctx, cancel: cancel, failed: make(chan *Failure, 1)}
 	return t, t.close
 }
 
 // Critical starts a part whose error or panic stops the process.
-func (t *Tree) Critical(name string, run func(context.Context) error) {
+func (t *Supervisor) Critical(name string, run func(context.Context) error) {
 	t.group.Go(func() {
 		if err := t.runRecovered(run); err != nil && t.ctx.Err() == nil {
 			t.log.Error("part failed; stopping the process", zap.String("Part", name), zap.Error(err))
@@ -63,8 +63,8 @@
 	})
 }
 
-// Keep starts a part that is restarted with exponential backoff if it returns or panics before the tree is closed.
-func (t *Tree) Keep(name string, run func(context.Context)) {
+// KeepRunning starts a part that is restarted with exponential backoff if it returns or panics before the tree is closed.
+func (t *Supervisor) KeepRunning(name string, run func(context.Context)) {
 	t.group.Go(func() {
 		restartDelay := backoff.NewExponentialBackOff()
 		restartDelay.InitialInterval, restartDelay.MaxInterval = initialRestartDelay, maxRestartDelay
@@ -87,7 +87,7 @@
 }
 
 // runRecovered runs a part and returns its error, or its panic as an error.
-func (t *Tree) runRecovered(run func(context.Context) error) error {
+func (t *Supervisor) runRecovered(run func(context.Context) error) error {
 	var err error
 	var catcher panics.Catcher
 	catcher.Try(func() { err = run(t.ctx) })
@@ -98,27 +98,27 @@
 }
 
 // Fail reports the failure of a part, which stops the process; only the first failure counts.
-func (t *Tree) Fail(name string, err error) {
+func (t *Supervisor) Fail(name string, err error) {
 	select {
-	case t.failed <- &Failed{name, err}:
+	case t.failed <- &Failure{name, err}:
 	default:
 	}
 }
 
-// Failed returns a channel that delivers the first failure of a part.
-func (t *Tree) Failed() <-chan *Failed {
+// Failures returns a channel that delivers the first failure of a part.
+func (t *Supervisor) Failures() <-chan *Failure {
 	return t.failed
 }
 
 // OnClose adds a clean-up that runs when the tree is closed, after the parts' context is
 // canceled and before the clean-ups added earlier.
-func (t *Tree) OnClose(fn func()) {
+func (t *Supervisor) OnClose(fn func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.cleanups = append(t.cleanups, fn)
 }
 
-func (t *Tree) close() {
+func (t *Supervisor) close() {
 	t.cancel()
 	t.mu.Lock()
 	cleanups := slices.Clone(t.cleanups)
--- a/internal/core/fault/fault.go
+++ b/internal/core/fault/fault.go
@@ -70,28 +70,28 @@
 	return &r
 }
 
-// Field reports a field whose value violates a validation rule.
-type Field struct {
+// InvalidField reports a field whose value violates a validation rule.
+type InvalidField struct {
 	Path  string
 	Value string
 	Rule  string
 }
 
 // Error returns the path of the field, its value if there is one, and the rule.
-func (f *Field) Error() string {
+func (f *InvalidField) Error() string {
 	if f.Value == "" {
 		return fmt.Sprintf("field %s %s", f.Path, f.Rule)
 	}
 	return fmt.Sprintf("field %s: value %q %s", f.Path, f.Value, f.Rule)
 }
 
-// Fields reports all invalid fields of one document.
-type Fields struct {
-	List []Field
+// InvalidFields reports all invalid fields of one document.
+type InvalidFields struct {
+	List []InvalidField
 }
 
 // Error returns the errors of all fields, separated by semicolons.
-func (f *Fields) Error() string {
+func (f *InvalidFields) Error() string {
 	var parts []string
 	for i := range f.List {
 		parts = append(parts, f.List[i].Error())
@@ -99,43 +99,43 @@
 	return strings.Join(parts, "; ")
 }
 
-// Conflict reports a conditional write whose expected revision is not the key's current one.
-type Conflict struct {
+// RevisionConflict reports a conditional write whose expected revision is not the key's current one.
+type RevisionConflict struct {
 	Key      string
 	Expected int64
 	Actual   int64
 }
 
 // Error returns the key, its actual revision and the expected one.
-func (c *Conflict) Error() string {
+func (c *RevisionConflict) Error() string {
 	return fmt.Sprintf("%s is at revision %d, the change expected revision %d", c.Key, c.Actual, c.Expected)
 }
 
-// Missing reports a key that does not exist.
-type Missing struct {
+// NotFoundError reports a key that does not exist.
+type NotFoundError struct {
 	Key string
 }
 
 // Error returns the key that does not exist.
-func (m *Missing) Error() string {
+func (m *NotFoundError) Error() string {
 	return fmt.Sprintf("%s does not exist", m.Key)
 }
 
-// Away reports a service that the process depends on and that does not answer, such as the store or an engine.
-type Away struct {
-	Part string
-	Err  error
-	// Unsettled is true if the failed call is a write that may have taken effect.
-	Unsettled bool
+// Unavailable reports a service that the process depends on and that does not answer, such as the store or an engine.
+type Unavailable struct {
+	Service string
+	Err     error
+	// MayHaveApplied is true if the failed call is a write that may have taken effect.
+	MayHaveApplied bool
 }
 
 // Error returns the name of the service and the cause.
-func (a *Away) Error() string {
-	return fmt.Sprintf("%s does not answer: %v", a.Part, a.Err)
+func (a *Unavailable) Error() string {
+	return fmt.Sprintf("%s does not answer: %v", a.Service, a.Err)
 }
 
 // Unwrap returns the error of the failed call.
-func (a *Away) Unwrap() error {
+func (a *Unavailable) Unwrap() error {
 	return a.Err
 }
 
@@ -144,9 +144,9 @@
 	return errors.As(err, target)
 }
 
-// Of returns the Refusal that err wraps. Any other error becomes EngineFailed with
+// AsRefusal returns the Refusal that err wraps. Any other error becomes EngineFailed with
 // NotRun false, because the request may have been executed.
-func Of(err error) *Refusal {
+func AsRefusal(err error) *Refusal {
 	var r *Refusal
 	if errors.As(err, &r) {
 		return r
--- a/internal/core/kinds/check.go
+++ b/internal/core/kinds/check.go
@@ -26,37 +26,37 @@
 	return v
 })
 
-// Check returns a *fault.Fields with every invalid field of the resource, or nil if it is valid.
-func Check(r Resource) error {
-	var list []fault.Field
+// Validate returns a *fault.Fields with every invalid field of the resource, or nil if it is valid.
+func Validate(r Resource) error {
+	var list []fault.InvalidField
 	if !namePattern.MatchString(r.Name) {
-		list = append(list, fault.Field{Path: "Name", Value: r.Name, Rule: "must be 1 to 100 lower-case letters, digits, dots or dashes"})
+		list = append(list, fault.InvalidField{Path: "Name", Value: r.Name, Rule: "must be 1 to 100 lower-case letters, digits, dots or dashes"})
 	}
-	list = append(list, CheckStruct("Spec", r.Spec())...)
+	list = append(list, ValidateStruct("Spec", r.Spec())...)
 	if len(list) == 0 {
 		return nil
 	}
-	return &fault.Fields{List: list}
+	return &fault.InvalidFields{List: list}
 }
 
-// CheckStruct validates a struct by its validate tags and returns the invalid
+// ValidateStruct validates a struct by its validate tags and returns the invalid
 // fields. Their paths begin with prefix unless it is empty.
-func CheckStruct(prefix string, v any) []fault.Field {
+func ValidateStruct(prefix string, v any) []fault.InvalidField {
 	err := validate().Struct(v)
 	if err == nil {
 		return nil
 	}
 	var violations validator.ValidationErrors
 	if !errors.As(err, &violations) {
-		return []fault.Field{{Path: prefix, Value: "", Rule: err.Error()}}
+		return []fault.InvalidField{{Path: prefix, Value: "", Rule: err.Error()}}
 	}
-	var list []fault.Field
+	var list []fault.InvalidField
 	for _, b := range violations {
 		_, path, _ := strings.Cut(b.StructNamespace(), ".")
 		if prefix != "" {
 			path = prefix + "." + path
 		}
-		list = append(list, fault.Field{Path: path, Value: violatingValue(b), Rule: ruleText(b)})
+		list = append(list, fault.InvalidField{Path: path, Value: violatingValue(b), Rule: ruleText(b)})
 	}
 	return list
 }
--- a/internal/core/kinds/fuzz_test.go
+++ b/internal/core/kinds/fuzz_test.go
@@ -25,7 +25,7 @@
 		if err := json.Unmarshal(doc, &r); err != nil {
 			return
 		}
-		if Check(r) != nil {
+		if Validate(r) != nil {
 			return
 		}
 		encoded, err := json.Marshal(r)
@@ -62,10 +62,10 @@
 			var r Resource
 			err := json.Unmarshal([]byte(c.doc), &r)
 			if err == nil {
-				err = Check(r)
+				err = Validate(r)
 			}
-			var fieldErr *fault.Field
-			var fieldErrs *fault.Fields
+			var fieldErr *fault.InvalidField
+			var fieldErrs *fault.InvalidFields
 			if fault.As(err, &fieldErrs) {
 				fieldErr = &fieldErrs.List[0]
 			} else {
--- a/internal/core/kinds/resource.go
+++ b/internal/core/kinds/resource.go
@@ -26,18 +26,18 @@
 	return []Kind{Policy, Model, Adapter, Service}
 }
 
-// Parse returns the kind with the name, ignoring case, or a *fault.Field error.
-func Parse(name string) (Kind, error) {
+// ParseKind returns the kind with the name, ignoring case, or a *fault.Field error.
+func ParseKind(name string) (Kind, error) {
 	for _, k := range All() {
 		if strings.EqualFold(string(k), name) {
 			return k, nil
 		}
 	}
-	return "", &fault.Field{Path: "Kind", Value: name, Rule: "must be one of Model, Adapter, Service, Policy"}
+	return "", &fault.InvalidField{Path: "Kind", Value: name, Rule: "must be one of Model, Adapter, Service, Policy"}
 }
 
-// Key returns the configuration key of the resource of a kind and name.
-func Key(kind Kind, name string) string {
+// ResourceKey returns the configuration key of the resource of a kind and name.
+func ResourceKey(kind Kind, name string) string {
 	return string(kind) + "/" + name
 }
 
@@ -80,7 +80,7 @@
 
 // Key returns the resource's configuration key.
 func (r Resource) Key() string {
-	return Key(r.Kind, r.Name)
+	return ResourceKey(r.Kind, r.Name)
 }
 
 // WithGeneration returns a copy of the resource with the generation g.
@@ -110,7 +110,7 @@
 	if err := strictJSON(data, &e, ""); err != nil {
 		return err
 	}
-	decoded, err := Empty(e.Kind, e.Name)
+	decoded, err := NewResource(e.Kind, e.Name)
 	if err != nil {
 		return err
 	}
@@ -124,8 +124,8 @@
 	return nil
 }
 
-// Empty returns a resource of the kind with a zero spec, or a *fault.Field error for an unknown kind.
-func Empty(kind Kind, name string) (Resource, error) {
+// NewResource returns a resource of the kind with a zero spec, or a *fault.Field error for an unknown kind.
+func NewResource(kind Kind, name string) (Resource, error) {
 	r := Resource{Kind: kind, Name: name}
 	switch kind {
 	case Model:
@@ -137,9 +137,9 @@
 	case Policy:
 		r.Policy = &PolicySpec{}
 	default:
-		_, err := Parse(string(kind))
+		_, err := ParseKind(string(kind))
 		if err == nil {
-			err = &fault.Field{Path: "Kind", Value: string(kind), Rule: "must be written Model, Adapter, Service or Policy"}
+			err = &fault.InvalidField{Path: "Kind", Value: string(kind), Rule: "must be written Model, Adapter, Service or Policy"}
 		}
 		return r, err
 	}
@@ -154,22 +154,22 @@
 	err := dec.Decode(out)
 	if err == nil {
 		if dec.More() {
-			return &fault.Field{Path: strings.TrimSuffix(prefix, "."), Value: "", Rule: "is followed by more data"}
+			return &fault.InvalidField{Path: strings.TrimSuffix(prefix, "."), Value: "", Rule: "is followed by more data"}
 		}
 		return nil
 	}
-	var nested *fault.Field
+	var nested *fault.InvalidField
 	if fault.As(err, &nested) {
 		return nested
 	}
 	var typeErr *json.UnmarshalTypeError
 	if fault.As(err, &typeErr) {
-		return &fault.Field{Path: prefix + typeErr.Field, Value: typeErr.Value, Rule: fmt.Sprintf("must be %s", typeErr.Type)}
+		return &fault.InvalidField{Path: prefix + typeErr.Field, Value: typeErr.Value, Rule: fmt.Sprintf("must be %s", typeErr.Type)}
 	}
 	const unknownFieldPrefix = "json: unknown field "
 	if text := err.Error(); strings.HasPrefix(text, unknownFieldPrefix) {
 		name := strings.Trim(strings.TrimPrefix(text, unknownFieldPrefix), `"`)
-		return &fault.Field{Path: prefix + name, Value: "", Rule: "is not a known field"}
+		return &fault.InvalidField{Path: prefix + name, Value: "", Rule: "is not a known field"}
 	}
-	return &fault.Field{Path: strings.TrimSuffix(prefix, "."), Value: "", Rule: "is not valid JSON: " + err.Error()}
+	return &fault.InvalidField{Path: strings.TrimSuffix(prefix, "."), Value: "", Rule: "is not valid JSON: " + err.Error()}
 }
--- a/internal/core/kinds/specs.go
+++ b/internal/core/kinds/specs.go
@@ -56,18 +56,18 @@
 // DefaultPolicy is the name of the Policy that applies to models that name none.
 const DefaultPolicy = "default"
 
-// Slots returns the bound on concurrent requests of one replica.
-func (s ModelSpec) Slots() int {
+// ConcurrencyLimit returns the bound on concurrent requests of one replica.
+func (s ModelSpec) ConcurrencyLimit() int {
 	return concurrencyOrDefault(s.Concurrency)
 }
 
-// Slots returns the bound on concurrent calls of one endpoint.
-func (s ServiceSpec) Slots() int {
+// ConcurrencyLimit returns the bound on concurrent calls of one endpoint.
+func (s ServiceSpec) ConcurrencyLimit() int {
 	return concurrencyOrDefault(s.Concurrency)
 }
 
-// Idempotent reports whether calls with the HTTP method may be retried.
-func (s ServiceSpec) Idempotent(method string) bool {
+// IsIdempotent reports whether calls with the HTTP method may be retried.
+func (s ServiceSpec) IsIdempotent(method string) bool {
 	methods := s.IdempotentMethods
 	if len(methods) == 0 {
 		methods = []string{"GET", "HEAD", "OPTIONS"}
--- a/internal/core/plan/node.go
+++ b/internal/core/plan/node.go
@@ -9,13 +9,13 @@
 	Agent Role = "agent"
 )
 
-// Back is the type of endpoint that an agent serves.
-type Back string
+// EndpointType is the type of endpoint that an agent serves.
+type EndpointType string
 
 // The types of endpoint: a model engine or a plain service.
 const (
-	EngineBack  Back = "engine"
-	ServiceBack Back = "service"
+	EngineEndpoint  EndpointType = "engine"
+	ServiceEndpoint EndpointType = "service"
 )
 
 // Node is the declaration that a process writes of itself once at its start. Epoch
@@ -29,7 +29,7 @@
 	Domain  string
 	Epoch   int64
 	// Back is set for agents only.
-	Back Back `json:",omitempty"`
+	Back EndpointType `json:",omitempty"`
 	// Service is the name of the agent's plain service; empty for an engine.
 	Service string `json:",omitempty"`
 	// MemoryBytes is the accelerator memory of the endpoint; 0 for a plain service.
--- a/internal/core/plan/plan.go
+++ b/internal/core/plan/plan.go
@@ -6,15 +6,15 @@
 	"strings"
 )
 
-// State says whether the endpoint of a slot may load the replica.
-type State string
+// SlotState says whether the endpoint of a slot may load the replica.
+type SlotState string
 
 // The states of a slot.
 const (
 	// Active allows the endpoint's agent to load the replica at any time.
-	Active State = "Active"
+	Active SlotState = "Active"
 	// Releasing forbids loading; the slot counts as loaded until the agent has confirmed the release.
-	Releasing State = "Releasing"
+	Releasing SlotState = "Releasing"
 )
 
 // Slot is the placement of one replica on an endpoint. It is removed from the plan
@@ -25,7 +25,7 @@
 	Number   int64
 	Endpoint string
 	Domain   string
-	State    State
+	State    SlotState
 }
 
 // Plan is the placement of one model's replicas, or of one service's claim partitions.
@@ -48,8 +48,8 @@
 	return "Claims/" + service
 }
 
-// At returns the plan's slot on the endpoint and whether there is one.
-func (p Plan) At(endpoint string) (Slot, bool) {
+// SlotAt returns the plan's slot on the endpoint and whether there is one.
+func (p Plan) SlotAt(endpoint string) (Slot, bool) {
 	for _, s := range p.Slots {
 		if s.Endpoint == endpoint {
 			return s, true
@@ -58,8 +58,8 @@
 	return Slot{}, false
 }
 
-// Active returns the slots whose replicas may be loaded.
-func (p Plan) Active() []Slot {
+// ActiveSlots returns the slots whose replicas may be loaded.
+func (p Plan) ActiveSlots() []Slot {
 	var out []Slot
 	for _, s := range p.Slots {
 		if s.State == Active {
@@ -76,8 +76,8 @@
 	return p
 }
 
-// WithState returns a copy of the plan with the numbered slot in the state.
-func (p Plan) WithState(number int64, state State) Plan {
+// WithSlotState returns a copy of the plan with the numbered slot in the state.
+func (p Plan) WithSlotState(number int64, state SlotState) Plan {
 	p.Slots = slices.Clone(p.Slots)
 	for i := range p.Slots {
 		if p.Slots[i].Number == number {
@@ -95,8 +95,8 @@
 	return p
 }
 
-// Without returns a copy of the plan without the numbered slot.
-func (p Plan) Without(number int64) Plan {
+// WithoutSlot returns a copy of the plan without the numbered slot.
+func (p Plan) WithoutSlot(number int64) Plan {
 	p.Slots = slices.DeleteFunc(slices.Clone(p.Slots), func(s Slot) bool { return s.Number == number })
 	return p
 }
--- a/internal/core/site/document.go
+++ b/internal/core/site/document.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// Kind says whether a route's requests may be retried.
-type Kind string
+// RouteKind says whether a route's requests may be retried.
+type RouteKind string
 
 // The kinds of routes.
 const (
 	// Safe requests may run more than once.
-	Safe Kind = "safe"
+	Safe RouteKind = "safe"
 	// Unsafe requests run at most once.
-	Unsafe Kind = "unsafe"
+	Unsafe RouteKind = "unsafe"
 	// Streaming requests run at most once unless the route is resumable.
-	Streaming Kind = "streaming"
+	Streaming RouteKind = "streaming"
 )
 
-// Share is the weight by which a route sends requests to a service.
-type Share struct {
+// WeightedService is the weight by which a route sends requests to a service.
+type WeightedService struct {
 	Service string
 	Weight  float64
 }
@@ -29,55 +29,55 @@
 	Name    string
 	Host    string
 	Prefix  string
-	Kind    Kind
+	Kind    RouteKind
 	Timeout time.Duration
-	// Goal is the target for the time to the first event of the response; 0 if the route has none.
-	Goal time.Duration
-	// MaxGap is the target for the longest pause between events of a streamed response; 0 if the
+	// ResponseGoal is the target for the time to the first event of the response; 0 if the route has none.
+	ResponseGoal time.Duration
+	// MaxTokenGap is the target for the longest pause between events of a streamed response; 0 if the
 	// route has none.
-	MaxGap time.Duration
-	// Rank is the priority that requests to instances carry.
-	Rank     int
-	Attempts int
+	MaxTokenGap time.Duration
+	// Priority is the priority that requests to instances carry.
+	Priority    int
+	MaxAttempts int
 	// Sticky is true if requests of the route name the shared parts of their prompts, so that
 	// they can be sent to an instance that has them cached.
 	Sticky    bool
 	Resumable bool
-	Shares    []Share
+	Split     []WeightedService
 }
 
-// Repeatable reports whether a request may be retried after an attempt with an unknown outcome.
-func (r *Route) Repeatable() bool {
+// Retryable reports whether a request may be retried after an attempt with an unknown outcome.
+func (r *Route) Retryable() bool {
 	return r.Kind == Safe || r.Kind == Streaming && r.Resumable
 }
 
 // Model is a model that an engine can load.
 type Model struct {
-	Name     string
-	SizeMB   float64
-	Adapters int
+	Name         string
+	SizeMB       float64
+	AdapterCount int
 	// AdapterMB is the size of one adapter.
 	AdapterMB float64
-	// FromStore, FromDisk and FromMemory are the load times from the weight store, a server's
+	// StoreLoadTime, FromDisk and FromMemory are the load times from the weight store, a server's
 	// disk and its main memory.
-	FromStore  time.Duration
-	FromDisk   time.Duration
-	FromMemory time.Duration
+	StoreLoadTime  time.Duration
+	DiskLoadTime   time.Duration
+	MemoryLoadTime time.Duration
 }
 
 // Engine describes the model servers of a service.
 type Engine struct {
-	// Slots bounds the concurrent requests of one server.
-	Slots int
-	// CacheTokens is the capacity of one server's key-value cache for running requests and cached prompts.
-	CacheTokens int
+	// ConcurrentRequests bounds the concurrent requests of one server.
+	ConcurrentRequests int
+	// KVCacheTokens is the capacity of one server's key-value cache for running requests and cached prompts.
+	KVCacheTokens int
 	// WeightsMB is the memory of one server for the weights of models and adapters.
 	WeightsMB float64
-	// AdapterPlaces bounds the adapters that one server has loaded.
-	AdapterPlaces int
-	// LoadsPerSecond bounds the rate of loads from the weight store over all servers.
-	LoadsPerSecond float64
-	Models         []Model
+	// MaxLoadedAdapters bounds the adapters that one server has loaded.
+	MaxLoadedAdapters int
+	// StoreLoadsPerSecond bounds the rate of loads from the weight store over all servers.
+	StoreLoadsPerSecond float64
+	Models              []Model
 }
 
 // Model returns the engine's model with the name, or nil if there is none.
@@ -126,22 +126,22 @@
 	return best
 }
 
-// Pick returns the service for a request, chosen by the hash of its ID in proportion to
+// PickService returns the service for a request, chosen by the hash of its ID in proportion to
 // the weights; "" if the route has no shares.
-func (r *Route) Pick(hash uint64) string {
+func (r *Route) PickService(hash uint64) string {
 	total := 0.0
-	for _, s := range r.Shares {
+	for _, s := range r.Split {
 		total += max(0, s.Weight)
 	}
 	const buckets = 1 << 20
 	remaining := float64(hash%buckets) / buckets * total
-	for _, s := range r.Shares {
+	for _, s := range r.Split {
 		if remaining -= max(0, s.Weight); remaining < 0 {
 			return s.Service
 		}
 	}
-	if len(r.Shares) > 0 {
-		return r.Shares[len(r.Shares)-1].Service
+	if len(r.Split) > 0 {
+		return r.Split[len(r.Split)-1].Service
 	}
 	return ""
 }
--- a/internal/core/site/request.go
+++ b/internal/core/site/request.go
@@ -2,30 +2,30 @@
 
 import "time"
 
-// Part is a piece of a prompt that several requests have in common.
-type Part struct {
+// PromptPart is a piece of a prompt that several requests have in common.
+type PromptPart struct {
 	ID     string
 	Tokens int
 }
 
-// Request holds what the headers of a caller's request declare.
-type Request struct {
+// RequestInfo holds what the headers of a caller's request declare.
+type RequestInfo struct {
 	ID string
-	// Patience is how long the caller waits for the answer; 0 if not declared.
-	Patience time.Duration
-	Target   Adapter
+	// Timeout is how long the caller waits for the answer; 0 if not declared.
+	Timeout time.Duration
+	Target  Target
 	// PromptTokens is the length of the prompt and MaxTokens the maximum length of the answer,
 	// in tokens; 0 if not declared.
 	PromptTokens int
 	MaxTokens    int
-	Parts        []Part
-	// LastEvent is the ID of the last event that the caller received, from which a stream resumes.
-	LastEvent string
+	PromptParts  []PromptPart
+	// LastEventID is the ID of the last event that the caller received, from which a stream resumes.
+	LastEventID string
 }
 
-// Load is the request load that a server reports with an answer.
-type Load struct {
-	Running int
-	Waiting int
-	Slots   int
+// ServerLoad is the request load that a server reports with an answer.
+type ServerLoad struct {
+	Running            int
+	Waiting            int
+	ConcurrentRequests int
 }
--- a/internal/core/view/holder.go
+++ b/internal/core/view/holder.go
@@ -25,12 +25,12 @@
 	return h.current.Load()
 }
 
-// Apply applies the delta to the view and reports whether it contained anything newer.
-func (h *Holder) Apply(d Delta) bool {
+// ApplyDelta applies the delta to the view and reports whether it contained anything newer.
+func (h *Holder) ApplyDelta(d Delta) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	old := h.current.Load()
-	next := old.With(d)
+	next := old.Apply(d)
 	if next == old {
 		return false
 	}
@@ -40,17 +40,17 @@
 	return true
 }
 
-// Changed returns the newest view and a channel that is closed when the next one replaces it.
-func (h *Holder) Changed() (*View, <-chan struct{}) {
+// ViewAndChange returns the newest view and a channel that is closed when the next one replaces it.
+func (h *Holder) ViewAndChange() (*View, <-chan struct{}) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.current.Load(), h.changed
 }
 
-// Wait blocks until the view is newer than the revision. It returns the context's error if that ends first.
-func (h *Holder) Wait(ctx context.Context, revision int64) error {
+// WaitNewer blocks until the view is newer than the revision. It returns the context's error if that ends first.
+func (h *Holder) WaitNewer(ctx context.Context, revision int64) error {
 	for {
-		v, changed := h.Changed()
+		v, changed := h.ViewAndChange()
 		if v.Revision() > revision {
 			return nil
 		}
--- a/internal/core/view/view.go
+++ b/internal/core/view/view.go
@@ -138,9 +138,9 @@
 	return slices.SortedFunc(maps.Values(byName), func(a, b kinds.Resource) int { return strings.Compare(a.Name, b.Name) })
 }
 
-// Since returns the entries that changed after the revision, oldest first. The delta is
+// ChangesSince returns the entries that changed after the revision, oldest first. The delta is
 // full if the revision is 0 or the view no longer knows which keys were deleted since.
-func (v *View) Since(revision int64) Delta {
+func (v *View) ChangesSince(revision int64) Delta {
 	if revision >= v.recentAfter && revision > 0 {
 		first, _ := slices.BinarySearchFunc(v.recent, revision+1, func(e Entry, rev int64) int { return cmp.Compare(e.Revision, rev) })
 		return Delta{Revision: v.revision, Entries: v.recent[first:]}
@@ -156,8 +156,8 @@
 	return d
 }
 
-// With returns the view with the delta applied, or v itself if the delta holds nothing newer.
-func (v *View) With(d Delta) *View {
+// Apply returns the view with the delta applied, or v itself if the delta holds nothing newer.
+func (v *View) Apply(d Delta) *View {
 	changed := v.newerEntries(d)
 	if len(changed) == 0 && d.Revision <= v.revision {
 		return v
--- a/internal/core/view/view_test.go
+++ b/internal/core/view/view_test.go
@@ -8,10 +8,10 @@
 	. "github.com/onsi/gomega"
 	"pgregory.net/rapid"
 
-	"foxtailcroft/test/draws"
+	"foxtailcroft/test/seeds"
 )
 
-func TestMain(m *testing.M) { draws.Main(m, 200) }
+func TestMain(m *testing.M) { seeds.RunTests(m, 200) }
 
 // drawnWrite is one accepted write of the drawn history.
 type drawnWrite struct {
@@ -37,7 +37,7 @@
 
 // stateAt returns the view after the first n writes.
 func stateAt(entries []Entry, n int) *View {
-	return Empty().With(Delta{Revision: int64(n), Entries: entries[:n]})
+	return Empty().Apply(Delta{Revision: int64(n), Entries: entries[:n]})
 }
 
 // TestViewRevisionsNeverDecrease applies full and partial deltas of sources at newer and
@@ -52,7 +52,7 @@
 			if rapid.Bool().Draw(t, "whole") {
 				since = 0
 			}
-			next := v.With(source.Since(since))
+			next := v.Apply(source.ChangesSince(since))
 			if next.Revision() < v.Revision() {
 				t.Fatalf("revision went back from %d to %d", v.Revision(), next.Revision())
 			}
@@ -72,8 +72,8 @@
 
 func TestUndecodableValueKeepsLastDecodedValue(t *testing.T) {
 	g := NewWithT(t)
-	v := Empty().With(Delta{Revision: 1, Entries: []Entry{{Key: "Policy/p", Revision: 1, Value: json.RawMessage(`{"Kind":"Policy","Name":"p","Spec":{"ColdStartPrice":5}}`)}}})
-	v = v.With(Delta{Revision: 2, Entries: []Entry{{Key: "Policy/p", Revision: 2, Value: json.RawMessage(`{"Kind":"Unknown"}`)}}})
+	v := Empty().Apply(Delta{Revision: 1, Entries: []Entry{{Key: "Policy/p", Revision: 1, Value: json.RawMessage(`{"Kind":"Policy","Name":"p","Spec":{"ColdStartPrice":5}}`)}}})
+	v = v.Apply(Delta{Revision: 2, Entries: []Entry{{Key: "Policy/p", Revision: 2, Value: json.RawMessage(`{"Kind":"Unknown"}`)}}})
 	g.Expect(v.Policy("p").ColdStartPrice).To(Equal(5.0))
 	g.Expect(v.Revision()).To(Equal(int64(2)))
 }
--- a/internal/entry/admin/server.go
+++ b/internal/entry/admin/server.go
@@ -77,7 +77,7 @@
 // Problem is the body of a refused call.
 type Problem struct {
 	Error  string
-	Fields []fault.Field `json:",omitempty"`
+	Fields []fault.InvalidField `json:",omitempty"`
 	// Expected and Actual are the revisions of a conflict.
 	Expected int64 `json:",omitempty"`
 	Actual   int64 `json:",omitempty"`
@@ -86,7 +86,7 @@
 // withKind returns a handler that parses the kind in the path and passes it and the name to h.
 func (s *Server) withKind(h func(http.ResponseWriter, *http.Request, kinds.Kind, string)) httprouter.Handle {
 	return func(w http.ResponseWriter, r *http.Request, ps httprouter.Params) {
-		kind, err := kinds.Parse(ps.ByName("kind"))
+		kind, err := kinds.ParseKind(ps.ByName("kind"))
 		if err != nil {
 			writeError(w, err)
 			return
@@ -104,7 +104,7 @@
 		writeJSON(w, s.reporter.Cluster(r.Context()))
 		return
 	}
-	kind, err := kinds.Parse(ps.ByName("kind"))
+	kind, err := kinds.ParseKind(ps.ByName("kind"))
 	if err != nil {
 		writeError(w, err)
 		return
@@ -126,13 +126,13 @@
 			return
 		}
 	}
-	writeError(w, &fault.Missing{Key: kinds.Key(kind, name)})
+	writeError(w, &fault.NotFoundError{Key: kinds.ResourceKey(kind, name)})
 }
 
 func (s *Server) servePut(w http.ResponseWriter, r *http.Request, kind kinds.Kind, name string) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
-		writeError(w, &fault.Field{Path: "", Rule: fmt.Sprintf("body could not be read: %v", err)})
+		writeError(w, &fault.InvalidField{Path: "", Rule: fmt.Sprintf("body could not be read: %v", err)})
 		return
 	}
 	var res kinds.Resource
@@ -141,7 +141,7 @@
 		return
 	}
 	if res.Kind != kind || res.Name != name {
-		writeError(w, &fault.Field{Path: "Name", Value: res.Key(), Rule: "does not match the path " + kinds.Key(kind, name)})
+		writeError(w, &fault.InvalidField{Path: "Name", Value: res.Key(), Rule: "does not match the path " + kinds.ResourceKey(kind, name)})
 		return
 	}
 	expected, err := expectedRevision(r)
@@ -178,7 +178,7 @@
 	if since := q.Get("since"); since != "" {
 		sinceTime, err := time.Parse(time.RFC3339, since)
 		if err != nil {
-			writeError(w, &fault.Field{Path: "since", Value: since, Rule: "must be a time such as 2026-01-02T15:04:05Z"})
+			writeError(w, &fault.InvalidField{Path: "since", Value: since, Rule: "must be a time such as 2026-01-02T15:04:05Z"})
 			return
 		}
 		f.Since = sinceTime
@@ -195,7 +195,7 @@
 func (s *Server) serveWatch(w http.ResponseWriter, r *http.Request, kind kinds.Kind) {
 	after, err := strconv.ParseInt("0"+r.URL.Query().Get("revision"), 10, 64)
 	if err != nil {
-		writeError(w, &fault.Field{Path: "revision", Value: r.URL.Query().Get("revision"), Rule: "must be a number"})
+		writeError(w, &fault.InvalidField{Path: "revision", Value: r.URL.Query().Get("revision"), Rule: "must be a number"})
 		return
 	}
 	w.Header().Set("Content-Type", "application/x-ndjson")
@@ -209,7 +209,7 @@
 			}
 		}
 		after = max(after, v.Revision())
-		if control.Flush() != nil || s.holder.Wait(r.Context(), after) != nil {
+		if control.Flush() != nil || s.holder.WaitNewer(r.Context(), after) != nil {
 			return
 		}
 	}
@@ -218,7 +218,7 @@
 // events returns the changes of a kind after a revision, followed by a bookmark.
 func events(v *view.View, kind kinds.Kind, after int64) []Event {
 	var out []Event
-	for _, e := range v.Since(after).Entries {
+	for _, e := range v.ChangesSince(after).Entries {
 		name, ok := strings.CutPrefix(e.Key, string(kind)+"/")
 		if !ok {
 			continue
@@ -246,7 +246,7 @@
 	}
 	n, err := strconv.ParseInt(h, 10, 64)
 	if err != nil || n < 0 {
-		return 0, &fault.Field{Path: "If-Match", Value: h, Rule: "must be a revision; 0 for a resource that must not exist"}
+		return 0, &fault.InvalidField{Path: "If-Match", Value: h, Rule: "must be a revision; 0 for a resource that must not exist"}
 	}
 	return n, nil
 }
@@ -273,14 +273,14 @@
 // writeError writes the HTTP status and the Problem for an error.
 func writeError(w http.ResponseWriter, err error) {
 	status, p := http.StatusInternalServerError, Problem{Error: err.Error()}
-	var field *fault.Field
-	var fields *fault.Fields
-	var conflict *fault.Conflict
-	var missing *fault.Missing
-	var away *fault.Away
+	var field *fault.InvalidField
+	var fields *fault.InvalidFields
+	var conflict *fault.RevisionConflict
+	var missing *fault.NotFoundError
+	var away *fault.Unavailable
 	switch {
 	case errors.As(err, &field):
-		status, p.Fields = http.StatusBadRequest, []fault.Field{*field}
+		status, p.Fields = http.StatusBadRequest, []fault.InvalidField{*field}
 	case errors.As(err, &fields):
 		status, p.Fields = http.StatusBadRequest, fields.List
 	case errors.As(err, &conflict):
--- a/internal/entry/admin/status.go
+++ b/internal/entry/admin/status.go
@@ -12,8 +12,8 @@
 	"foxtailcroft/internal/core/kinds"
 	"foxtailcroft/internal/core/plan"
 	"foxtailcroft/internal/core/view"
+	"foxtailcroft/internal/link/fanout"
 	"foxtailcroft/internal/link/peer"
-	"foxtailcroft/internal/link/spread"
 	"foxtailcroft/internal/link/wire"
 )
 
@@ -45,7 +45,7 @@
 type Replica struct {
 	Endpoint    string
 	Domain      string
-	Decision    plan.State
+	Decision    plan.SlotState
 	State       string
 	LastWake    time.Time
 	ColdP99     kinds.Duration
@@ -58,19 +58,19 @@
 // Cluster is the state of all models, endpoints and nodes.
 type Cluster struct {
 	Revision  int64
-	Models    []ModelLine
-	Endpoints []EndpointLine
-	Nodes     []NodeLine
+	Models    []ModelStatus
+	Endpoints []EndpointStatus
+	Nodes     []NodeStatus
 }
 
-// ModelLine is a model's name and status.
-type ModelLine struct {
+// ModelStatus is a model's name and status.
+type ModelStatus struct {
 	Name string
 	Status
 }
 
-// EndpointLine is the state of one endpoint.
-type EndpointLine struct {
+// EndpointStatus is the state of one endpoint.
+type EndpointStatus struct {
 	Name        string
 	Domain      string
 	Epoch       int64
@@ -82,9 +82,9 @@
 	Unreachable bool `json:",omitempty"`
 }
 
-// NodeLine is the state of one node. Revision is the one that the node applies;
+// NodeStatus is the state of one node. Revision is the one that the node applies;
 // 0 if no relay knows it.
-type NodeLine struct {
+type NodeStatus struct {
 	Name     string
 	Role     plan.Role
 	Domain   string
@@ -102,14 +102,14 @@
 type Reporter struct {
 	holder *view.Holder
 	pool   *peer.Pool
-	relay  *spread.Relay
+	relay  *fanout.Relay
 	mu     sync.Mutex
 	// lastConditions holds, by resource key and condition type, the conditions last derived.
 	lastConditions map[string]Condition
 }
 
 // NewReporter returns a reporter on the resources and nodes in the holder's view.
-func NewReporter(holder *view.Holder, p *peer.Pool, relay *spread.Relay) *Reporter {
+func NewReporter(holder *view.Holder, p *peer.Pool, relay *fanout.Relay) *Reporter {
 	return &Reporter{holder: holder, pool: p, relay: relay, lastConditions: map[string]Condition{}}
 }
 
@@ -166,10 +166,10 @@
 			out[node] = max(out[node], rev)
 		}
 	}
-	merge(r.relay.Applied(ctx))
+	merge(r.relay.AppliedRevisions(ctx))
 	workers := pool.New().WithMaxGoroutines(maxConcurrentCalls)
 	for _, nodes := range domains {
-		for _, relay := range spread.Rank(nodes)[:min(spread.Parents, len(nodes))] {
+		for _, relay := range fanout.SortByRank(nodes)[:min(fanout.ParentCount, len(nodes))] {
 			workers.Go(func() { merge(r.appliedRevisions(ctx, relay)) })
 		}
 	}
@@ -315,19 +315,19 @@
 	reports, inForce := r.agentReports(ctx, agents), r.revisionsInForce(ctx)
 	out := Cluster{Revision: v.Revision()}
 	for _, m := range v.Resources(kinds.Model) {
-		out.Models = append(out.Models, ModelLine{m.Name, r.buildStatus(v, m, reports, inForce)})
+		out.Models = append(out.Models, ModelStatus{m.Name, r.buildStatus(v, m, reports, inForce)})
 	}
 	for _, n := range v.Nodes() {
-		out.Nodes = append(out.Nodes, NodeLine{n.Name, n.Role, n.Domain, inForce[n.Name]})
+		out.Nodes = append(out.Nodes, NodeStatus{n.Name, n.Role, n.Domain, inForce[n.Name]})
 		if n.Role == plan.Agent {
 			report, ok := reports[n.Name]
-			out.Endpoints = append(out.Endpoints, EndpointLine{
+			out.Endpoints = append(out.Endpoints, EndpointStatus{
 				Name: n.Name, Domain: n.Domain, Epoch: n.Epoch, Service: n.Service, MemoryBytes: n.MemoryBytes,
 				UsedBytes: report.UsedBytes, Queued: report.Queued, Leaving: report.Leaving, Unreachable: !ok,
 			})
 		}
 	}
-	slices.SortFunc(out.Nodes, func(a, b NodeLine) int { return strings.Compare(a.Name, b.Name) })
-	slices.SortFunc(out.Endpoints, func(a, b EndpointLine) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(out.Nodes, func(a, b NodeStatus) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(out.Endpoints, func(a, b EndpointStatus) int { return strings.Compare(a.Name, b.Name) })
 	return out
 }
--- a/internal/entry/admin/writer.go
+++ b/internal/entry/admin/writer.go
@@ -32,7 +32,7 @@
 // revision, and returns it with its generation and revision. An unchanged spec
 // isn't written. A dry run does all checks but doesn't write.
 func (w *Writer) Put(ctx context.Context, actor string, r kinds.Resource, expected int64, dryRun bool) (kinds.Resource, error) {
-	if err := kinds.Check(r); err != nil {
+	if err := kinds.Validate(r); err != nil {
 		return r, err
 	}
 	if err := checkReferences(w.holder.View(), r); err != nil {
@@ -67,13 +67,13 @@
 // Delete deletes a resource that no other refers to and that is at the expected
 // revision. It returns the revision of the deletion, or for a dry run the stored one.
 func (w *Writer) Delete(ctx context.Context, actor string, kind kinds.Kind, name string, expected int64, dryRun bool) (int64, error) {
-	key := kinds.Key(kind, name)
+	key := kinds.ResourceKey(kind, name)
 	_, kv, err := w.readStored(ctx, key, expected)
 	if err != nil {
 		return 0, err
 	}
 	if kv.Revision == 0 {
-		return 0, &fault.Missing{Key: key}
+		return 0, &fault.NotFoundError{Key: key}
 	}
 	if err := checkUnused(w.holder.View(), kind, name); err != nil || dryRun {
 		return kv.Revision, err
@@ -95,7 +95,7 @@
 		return old, kv, fmt.Errorf("stored value of %s: %w", key, err)
 	}
 	if expected != anyRevision && expected != kv.Revision {
-		return old, kv, &fault.Conflict{Key: key, Expected: expected, Actual: kv.Revision}
+		return old, kv, &fault.RevisionConflict{Key: key, Expected: expected, Actual: kv.Revision}
 	}
 	return old, kv, nil
 }
@@ -128,7 +128,7 @@
 		if r.Model.Policy == "" || r.Model.Policy == kinds.DefaultPolicy {
 			return nil
 		}
-		if _, ok := v.Entry(kinds.Key(kinds.Policy, r.Model.Policy)); !ok {
+		if _, ok := v.Entry(kinds.ResourceKey(kinds.Policy, r.Model.Policy)); !ok {
 			return fieldError("Spec.Policy", r.Model.Policy, "names no declared Policy")
 		}
 	}
@@ -173,5 +173,5 @@
 }
 
 func fieldError(path, value, rule string) error {
-	return &fault.Fields{List: []fault.Field{{Path: path, Value: value, Rule: rule}}}
+	return &fault.InvalidFields{List: []fault.InvalidField{{Path: path, Value: value, Rule: rule}}}
 }
--- a/internal/entry/caller/refuse.go
+++ b/internal/entry/caller/refuse.go
@@ -58,7 +58,7 @@
 
 // writeRefusal writes the response of a request that was refused before any part of its answer was written.
 func writeRefusal(w http.ResponseWriter, id string, err error) {
-	r := fault.Of(err)
+	r := fault.AsRefusal(err)
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
 	h.Set(headerRequestID, id)
--- a/internal/entry/caller/server.go
+++ b/internal/entry/caller/server.go
@@ -136,7 +136,7 @@
 func (s *Server) recordEnd(req calls.Request, target string, res calls.Result, began time.Time, err error) {
 	outcome := "Answered"
 	if err != nil {
-		outcome = string(fault.Of(err).Code)
+		outcome = string(fault.AsRefusal(err).Code)
 	}
 	s.meters.GetOrCreateCounter(fmt.Sprintf("foxtailcroft_requests_total{outcome=%q,class=%q}", outcome, req.Class)).Inc()
 	s.log.Debug("request ended", zap.String("Request", req.ID), zap.String("Target", target), zap.String("Outcome", outcome),
--- a/internal/entry/caller/service.go
+++ b/internal/entry/caller/service.go
@@ -70,7 +70,7 @@
 		return req, err
 	}
 	req.PlainCall = &wire.PlainCall{
-		Method: r.Method, Path: path, Query: r.URL.RawQuery, Header: endToEndHeaders(r.Header), Idempotent: res.Service.Idempotent(r.Method),
+		Method: r.Method, Path: path, Query: r.URL.RawQuery, Header: endToEndHeaders(r.Header), Idempotent: res.Service.IsIdempotent(r.Method),
 	}
 	if req.PlainCall.Idempotent {
 		req.IdempotencyKey = ""
--- a/internal/entry/caller/writer.go
+++ b/internal/entry/caller/writer.go
@@ -107,7 +107,7 @@
 		writeRefusal(c.w, c.id, err)
 	case err != nil:
 		// A write error means that the caller has gone.
-		_ = c.writeEvent(bodyOf(fault.Of(err)))
+		_ = c.writeEvent(bodyOf(fault.AsRefusal(err)))
 	case c.request.Stream:
 		c.finishStream(res)
 	default:
--- a/internal/entry/calls/attempt.go
+++ b/internal/entry/calls/attempt.go
@@ -185,16 +185,16 @@
 	if err != nil {
 		return err
 	}
-	remote := conn.Remote()
+	remote := conn.RemoteHello()
 	if remote.Node != a.node.Name {
-		return &peer.Lost{Address: a.node.Address, Err: errors.New("the address belongs to " + remote.Node)}
+		return &peer.ConnError{Address: a.node.Address, Err: errors.New("the address belongs to " + remote.Node)}
 	}
 	if a.sent && remote.Epoch != a.run.Epoch {
 		return fault.Failed(fault.EndpointLost, "endpoint %q has restarted since the attempt was sent", a.node.Name)
 	}
 	a.run.Epoch, a.run.Resent = remote.Epoch, a.sent
 	a.endConnWork()
-	a.conn, a.endConnWork = conn, conn.Begin()
+	a.conn, a.endConnWork = conn, conn.BeginWork()
 	a.sent = true
 	return a.send(ctx, conn)
 }
@@ -202,8 +202,8 @@
 // send sends the body in parts and then the Run, and waits for the agent to
 // accept it. It drops a connection on which the agent doesn't reply in time.
 func (a *attempt) send(ctx context.Context, conn *peer.Conn) error {
-	for offset := 0; offset < len(a.req.Body); offset += wire.PartBytes {
-		part := wire.Part{Attempt: a.run.Attempt, Offset: offset, Data: a.req.Body[offset:min(offset+wire.PartBytes, len(a.req.Body))]}
+	for offset := 0; offset < len(a.req.Body); offset += wire.MaxPartBytes {
+		part := wire.Part{Attempt: a.run.Attempt, Offset: offset, Data: a.req.Body[offset:min(offset+wire.MaxPartBytes, len(a.req.Body))]}
 		if err := conn.Notify(wire.MethodPart, part); err != nil {
 			return err
 		}
@@ -217,7 +217,7 @@
 	var reply wire.RunReply
 	if err := conn.Call(acceptCtx, wire.MethodRun, a.run, &reply); err != nil {
 		if ctx.Err() == nil && acceptCtx.Err() != nil {
-			a.dispatcher.pool.Drop(conn)
+			a.dispatcher.pool.Disconnect(conn)
 		}
 		return err
 	}
@@ -229,18 +229,18 @@
 	return nil
 }
 
-// CutOff is the cancellation cause of requests that are still in flight when the entry shuts down.
-type CutOff struct{}
+// ShutdownError is the cancellation cause of requests that are still in flight when the entry shuts down.
+type ShutdownError struct{}
 
 // Error implements error.
-func (*CutOff) Error() string {
+func (*ShutdownError) Error() string {
 	return "entry shut down before the request ended"
 }
 
 // settle ends an attempt whose context is done. Unless the caller has gone, it
 // revokes the attempt to find out whether it certainly didn't run.
 func (a *attempt) settle(ctx context.Context) outcome {
-	var cutOff *CutOff
+	var cutOff *ShutdownError
 	if errors.Is(ctx.Err(), context.Canceled) && !errors.As(context.Cause(ctx), &cutOff) {
 		return a.abandon(fault.Failed(fault.Canceled, "the caller has gone"))
 	}
--- a/internal/entry/calls/dispatch.go
+++ b/internal/entry/calls/dispatch.go
@@ -9,12 +9,12 @@
 	"github.com/VictoriaMetrics/metrics"
 	"go.uber.org/zap"
 
-	"foxtailcroft/internal/base/crew"
+	"foxtailcroft/internal/base/tasks"
 	"foxtailcroft/internal/core/fault"
 	"foxtailcroft/internal/core/view"
 	"foxtailcroft/internal/entry/route"
+	"foxtailcroft/internal/link/fanout"
 	"foxtailcroft/internal/link/peer"
-	"foxtailcroft/internal/link/spread"
 	"foxtailcroft/internal/link/wire"
 	"foxtailcroft/internal/policy/retry"
 )
@@ -25,7 +25,7 @@
 	pool             *peer.Pool
 	table            *route.Table
 	log              *zap.Logger
-	background       crew.Group
+	background       tasks.Group
 	lateAnswers      *metrics.Counter
 	repeatedAttempts *metrics.Counter
 
@@ -46,17 +46,17 @@
 		repeatedAttempts: set.GetOrCreateCounter("foxtailcroft_repeated_attempts_total"),
 		inboxes:          map[string]*inbox{}, retryBudget: retry.NewBudget(), pullingFrom: map[string]bool{},
 	}
-	peer.OnStream(mux, wire.StreamPiece, func(_ *peer.Conn, p wire.Piece) {
+	peer.OnStream(mux, wire.StreamKindPiece, func(_ *peer.Conn, p wire.Piece) {
 		if i := d.inboxOf(p.Attempt); i != nil {
 			i.addPiece(p)
 		}
 	})
-	peer.OnNote(mux, wire.MethodDone, func(_ *peer.Conn, done wire.Done) {
+	peer.OnNotification(mux, wire.MethodDone, func(_ *peer.Conn, done wire.Done) {
 		if i := d.inboxOf(done.Attempt); i != nil {
 			i.setDone(done)
 		}
 	})
-	peer.OnNote(mux, wire.MethodLeaving, func(_ *peer.Conn, l wire.Leaving) { table.MarkLeaving(l.Node, l.Epoch) })
+	peer.OnNotification(mux, wire.MethodLeaving, func(_ *peer.Conn, l wire.Leaving) { table.MarkLeaving(l.Node, l.Epoch) })
 	return d, d.background.Close
 }
 
@@ -82,7 +82,7 @@
 // Do dispatches a request until it is answered or refused. The error is nil if
 // the sink received a whole answer, else a *fault.Refusal.
 func (d *Dispatcher) Do(ctx context.Context, req Request, sink Sink) (Result, error) {
-	settleMargin := retry.Margin(time.Until(req.Deadline))
+	settleMargin := retry.DeadlineMargin(time.Until(req.Deadline))
 	ctx, cancel := context.WithDeadline(ctx, req.Deadline.Add(-settleMargin))
 	defer cancel()
 	d.earnRetryBudget()
@@ -152,8 +152,8 @@
 	}()
 	ctx, cancel := context.WithTimeout(ctx, catchUpTimeout)
 	defer cancel()
-	if err := spread.Pull(ctx, c, d.holder, spread.Pulled{}); err != nil {
-		d.log.Info("configuration pull from a newer peer failed; the entry keeps its revision", zap.String("From", c.Remote().Node), zap.Error(err))
+	if err := fanout.Pull(ctx, c, d.holder, fanout.PullOptions{}); err != nil {
+		d.log.Info("configuration pull from a newer peer failed; the entry keeps its revision", zap.String("From", c.RemoteHello().Node), zap.Error(err))
 	}
 }
 
--- a/internal/entry/desk/doc.go
+++ /dev/null
@@ -1,3 +0,0 @@
-// Package desk serves the permits that agents of a region must hold while they
-// load weights from the weight store; one entry grants them.
-package desk
--- a/internal/entry/desk/desk.go
+++ b/internal/entry/grants/desk.go
@@ -1,4 +1,4 @@
-package desk
+package grants
 
 import (
 	"context"
@@ -13,14 +13,14 @@
 // PermitServer grants and takes back permits by peer calls.
 type PermitServer struct {
 	mu    sync.Mutex
-	queue *permit.Desk
+	queue *permit.Limiter
 	// grantSignals holds, by request ID, the channel that is closed when the permit is granted.
 	grantSignals map[string]chan struct{}
 }
 
 // New returns a permit server with all permits free, registered on the mux.
 func New(limits permit.Limits, mux *peer.Mux) *PermitServer {
-	s := &PermitServer{queue: permit.NewDesk(limits, time.Now()), grantSignals: map[string]chan struct{}{}}
+	s := &PermitServer{queue: permit.NewLimiter(limits, time.Now()), grantSignals: map[string]chan struct{}{}}
 	peer.OnCall(mux, wire.MethodPermit, s.serve)
 	return s
 }
@@ -32,13 +32,13 @@
 	if p.Done {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.queue.Return(id)
+		s.queue.Release(id)
 		s.grantDue(time.Now())
 		return wire.PermitReply{}, nil
 	}
 	granted := make(chan struct{})
 	s.mu.Lock()
-	s.queue.Add(permit.Ask{ID: id, Adapter: p.Adapter, Rank: p.Class.Rank(), Deadline: time.Now().Add(p.Remaining)})
+	s.queue.Enqueue(permit.Request{ID: id, Adapter: p.Adapter, Rank: p.Class.Rank(), Deadline: time.Now().Add(p.Remaining)})
 	s.grantSignals[id] = granted
 	s.mu.Unlock()
 	return s.waitForGrant(ctx, c, id, granted), nil
@@ -50,7 +50,7 @@
 	for {
 		s.mu.Lock()
 		s.grantDue(time.Now())
-		wakeIn := s.queue.Next(time.Now())
+		wakeIn := s.queue.RetryIn(time.Now())
 		s.mu.Unlock()
 		var timer <-chan time.Time
 		if wakeIn > 0 {
@@ -72,8 +72,8 @@
 func (s *PermitServer) withdraw(id string) wire.PermitReply {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.queue.Drop(id)
-	s.queue.Return(id)
+	s.queue.Cancel(id)
+	s.queue.Release(id)
 	delete(s.grantSignals, id)
 	return wire.PermitReply{}
 }
--- a/internal/entry/placer/endpoints.go
+++ b/internal/entry/placer/endpoints.go
@@ -33,13 +33,13 @@
 
 // isEngineAgent reports whether a node is an agent that fronts a model engine.
 func isEngineAgent(n plan.Node) bool {
-	return n.Role == plan.Agent && n.Back == plan.EngineBack
+	return n.Role == plan.Agent && n.Back == plan.EngineEndpoint
 }
 
 // addPromised adds bytes to the memory promised on an endpoint, if the set has it.
 func (set *endpointSet) addPromised(endpoint string, bytes int64) {
 	if e := set.byName[endpoint]; e != nil {
-		e.Promised += bytes
+		e.ReservedBytes += bytes
 	}
 }
 
@@ -48,15 +48,15 @@
 
 // chooseEndpoint returns the endpoint for one more slot of a model, or false if none fits.
 func (set *endpointSet) chooseEndpoint(m kinds.Resource, p plan.Plan) (place.Endpoint, bool) {
-	need := place.Need{Model: m.Name, Bytes: m.Model.MemoryBytes, Domains: m.Model.Domains}
+	need := place.Request{Model: m.Name, Bytes: m.Model.MemoryBytes, AllowedDomains: m.Model.Domains}
 	for _, s := range p.Slots {
-		need.Taken = append(need.Taken, s.Domain)
-		need.Used = append(need.Used, s.Endpoint)
+		need.UsedDomains = append(need.UsedDomains, s.Domain)
+		need.UsedEndpoints = append(need.UsedEndpoints, s.Endpoint)
 	}
 	candidates := make([]place.Endpoint, 0, len(set.byName))
 	for name, e := range set.byName {
 		candidate := *e
-		candidate.Near = cacheTierRanks[set.cacheTiers[name][m.Name]]
+		candidate.CheckpointTier = cacheTierRanks[set.cacheTiers[name][m.Name]]
 		candidates = append(candidates, candidate)
 	}
 	return place.Choose(need, candidates)
@@ -66,17 +66,17 @@
 // that no longer fit their endpoint. A slot that doesn't fit but whose domain is
 // still allowed stays until another endpoint can replace it.
 func (set *endpointSet) markReleasing(m kinds.Resource, p plan.Plan, action string) (plan.Plan, string) {
-	active := p.Active()
+	active := p.ActiveSlots()
 	for len(active) > m.Model.MaxReplicas {
-		p, action = p.WithState(active[len(active)-1].Number, plan.Releasing), "SlotReleasing"
-		active = p.Active()
+		p, action = p.WithSlotState(active[len(active)-1].Number, plan.Releasing), "SlotReleasing"
+		active = p.ActiveSlots()
 	}
 	for _, s := range active {
 		if set.slotFits(m, s) {
 			continue
 		}
 		if _, ok := set.chooseEndpoint(m, p); ok || !set.domainAllowed(m, s) {
-			p, action = p.WithState(s.Number, plan.Releasing), "SlotReleasing"
+			p, action = p.WithSlotState(s.Number, plan.Releasing), "SlotReleasing"
 		}
 	}
 	return p, action
--- a/internal/entry/placer/lease.go
+++ b/internal/entry/placer/lease.go
@@ -5,7 +5,7 @@
 	"encoding/json"
 	"time"
 
-	"foxtailcroft/internal/base/pause"
+	"foxtailcroft/internal/base/sleep"
 	"foxtailcroft/internal/plat/store"
 )
 
@@ -22,20 +22,20 @@
 // Run acquires the planner's lease whenever it is free and plans while holding
 // it. The lease only avoids duplicate work: each write compares the revision it
 // read, so a planner that was paused past its lease can't overwrite anything.
-func (p *Placer) Run(ctx context.Context) {
+func (p *Planner) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		lease, ok := p.acquireLease(ctx)
 		if ok {
 			p.Log.Info("planner lease acquired; planning starts")
 			p.planUnderLease(ctx, lease)
 		}
-		pause.For(ctx, renewInterval)
+		sleep.For(ctx, renewInterval)
 	}
 }
 
 // acquireLease tries to acquire the planner's lease and returns its ID, or
 // false if another entry holds it or the store call failed.
-func (p *Placer) acquireLease(ctx context.Context) (int64, bool) {
+func (p *Planner) acquireLease(ctx context.Context) (int64, bool) {
 	if _, exists, err := p.Store.Get(ctx, leaseKey); err != nil || exists {
 		return 0, false
 	}
@@ -43,7 +43,7 @@
 	if err != nil {
 		return 0, false
 	}
-	value, err := json.Marshal(struct{ Node string }{p.Self})
+	value, err := json.Marshal(struct{ Node string }{p.NodeName})
 	if err != nil {
 		return 0, false
 	}
@@ -52,11 +52,11 @@
 }
 
 // planUnderLease plans until the lease expires or can't be renewed within its TTL.
-func (p *Placer) planUnderLease(ctx context.Context, lease int64) {
+func (p *Planner) planUnderLease(ctx context.Context, lease int64) {
 	renewedAt := time.Now()
 	p.resetObservations()
 	for ctx.Err() == nil && time.Since(renewedAt) < leaseTTL {
-		_, changed := p.Holder.Changed()
+		_, changed := p.Holder.ViewAndChange()
 		p.Step(ctx)
 		if time.Since(renewedAt) >= renewInterval {
 			sentAt := time.Now()
@@ -72,7 +72,7 @@
 		select {
 		case <-changed:
 			// Changes come in bursts; one planning step covers a burst.
-			pause.For(ctx, changeDebounce)
+			sleep.For(ctx, changeDebounce)
 		case <-time.After(planInterval):
 		case <-ctx.Done():
 		}
--- a/internal/entry/placer/placer.go
+++ b/internal/entry/placer/placer.go
@@ -20,15 +20,15 @@
 	"foxtailcroft/internal/plat/store"
 )
 
-// Placer assigns model slots and claim partitions to endpoints.
-type Placer struct {
-	Self   string
-	Holder *view.Holder
-	Store  store.Store
-	Ledger *ledger.Ledger
-	List   fleet.List
-	Pool   *peer.Pool
-	Log    *zap.Logger
+// Planner assigns model slots and claim partitions to endpoints.
+type Planner struct {
+	NodeName  string
+	Holder    *view.Holder
+	Store     store.Store
+	Ledger    *ledger.Ledger
+	Instances fleet.List
+	Pool      *peer.Pool
+	Log       *zap.Logger
 	// GoneAfter is how long an instance must be absent from the platform's list
 	// before its node is deleted; it must exceed the list's lag.
 	GoneAfter time.Duration
@@ -49,7 +49,7 @@
 const listInterval = 2 * time.Second
 
 // resetObservations clears what was observed under an earlier lease.
-func (p *Placer) resetObservations() {
+func (p *Planner) resetObservations() {
 	p.missingSince, p.unreachableSince = map[string]time.Time{}, map[string]time.Time{}
 	p.leaving, p.cacheTiers = map[string]bool{}, map[string]map[string]string{}
 	p.listReadAt = time.Time{}
@@ -57,7 +57,7 @@
 
 // Step runs one planning step: it moves the stored plans towards the declared
 // resources and the instances that the platform lists.
-func (p *Placer) Step(ctx context.Context) {
+func (p *Planner) Step(ctx context.Context) {
 	v := p.Holder.View()
 	if p.missingSince == nil {
 		p.resetObservations()
@@ -79,8 +79,8 @@
 
 // readInstanceList records which nodes are leaving and which are absent from the
 // platform's list. If the list can't be read, the earlier records stay.
-func (p *Placer) readInstanceList(ctx context.Context, v *view.View) {
-	instances, err := p.List.Instances(ctx)
+func (p *Planner) readInstanceList(ctx context.Context, v *view.View) {
+	instances, err := p.Instances.Instances(ctx)
 	if err != nil {
 		return
 	}
@@ -107,7 +107,7 @@
 const maxPolledEndpoints = 8
 
 // pollCacheTiers polls the next few endpoints, round robin, for the checkpoints they cache.
-func (p *Placer) pollCacheTiers(ctx context.Context, v *view.View) {
+func (p *Planner) pollCacheTiers(ctx context.Context, v *view.View) {
 	var names []string
 	for name, n := range v.Nodes() {
 		if isEngineAgent(n) && !p.leaving[name] {
@@ -123,7 +123,7 @@
 }
 
 // cacheTiersAt returns the cache tier of each checkpoint at an endpoint, or nil if it doesn't answer.
-func (p *Placer) cacheTiersAt(ctx context.Context, v *view.View, name string) map[string]string {
+func (p *Planner) cacheTiersAt(ctx context.Context, v *view.View, name string) map[string]string {
 	ctx, cancel := context.WithTimeout(ctx, agentCallTimeout)
 	defer cancel()
 	node, _ := v.Node(name)
@@ -139,7 +139,7 @@
 }
 
 // deleteGoneNodes deletes the nodes that have been absent from the list for GoneAfter.
-func (p *Placer) deleteGoneNodes(ctx context.Context, v *view.View) {
+func (p *Planner) deleteGoneNodes(ctx context.Context, v *view.View) {
 	for name, since := range p.missingSince {
 		if _, ok := v.Node(name); !ok {
 			delete(p.missingSince, name)
@@ -153,9 +153,9 @@
 
 // writeDecision writes one planning decision if the key is still at the view's
 // revision; a nil value deletes the key. It reports whether the write succeeded.
-func (p *Placer) writeDecision(ctx context.Context, v *view.View, key string, value any, action string) bool {
+func (p *Planner) writeDecision(ctx context.Context, v *view.View, key string, value any, action string) bool {
 	before, _ := v.Entry(key)
-	c := ledger.Change{Key: key, Before: before.Value, From: before.Revision, Actor: p.Self, Action: action}
+	c := ledger.Change{Key: key, Before: before.Value, From: before.Revision, Actor: p.NodeName, Action: action}
 	if value != nil {
 		after, err := json.Marshal(value)
 		if err != nil {
@@ -178,14 +178,14 @@
 
 // planModel updates one model's plan: it removes lost and released slots, starts
 // the release of surplus ones, and adds slots up to MaxReplicas.
-func (p *Placer) planModel(ctx context.Context, v *view.View, endpoints *endpointSet, m kinds.Resource) {
+func (p *Planner) planModel(ctx context.Context, v *view.View, endpoints *endpointSet, m kinds.Resource) {
 	key := plan.ModelKey(m.Name)
 	before := v.Plan(key)
 	after, action := before, ""
 	after.Target = m.Name
 	for _, s := range before.Slots {
 		if _, ok := v.Node(s.Endpoint); !ok {
-			after, action = after.Without(s.Number), "SlotLost"
+			after, action = after.WithoutSlot(s.Number), "SlotLost"
 		}
 	}
 	after, action = p.removeReleased(ctx, v, after, action)
@@ -204,11 +204,11 @@
 }
 
 // removeReleased removes the slots in state Releasing whose agents confirm the release.
-func (p *Placer) removeReleased(ctx context.Context, v *view.View, after plan.Plan, action string) (plan.Plan, string) {
+func (p *Planner) removeReleased(ctx context.Context, v *view.View, after plan.Plan, action string) (plan.Plan, string) {
 	entry, _ := v.Entry(plan.ModelKey(after.Target))
 	for _, s := range after.Slots {
 		if s.State == plan.Releasing && p.releaseConfirmed(ctx, v, after.Target, s, entry.Revision) {
-			after, action = after.Without(s.Number), "SlotReleased"
+			after, action = after.WithoutSlot(s.Number), "SlotReleased"
 		}
 	}
 	return after, action
@@ -219,7 +219,7 @@
 
 // releaseConfirmed asks the slot's agent whether the slot is released. The slot
 // of a deleted node counts as released.
-func (p *Placer) releaseConfirmed(ctx context.Context, v *view.View, model string, s plan.Slot, revision int64) bool {
+func (p *Planner) releaseConfirmed(ctx context.Context, v *view.View, model string, s plan.Slot, revision int64) bool {
 	node, ok := v.Node(s.Endpoint)
 	if !ok {
 		return true
@@ -227,7 +227,7 @@
 	ctx, cancel := context.WithTimeout(ctx, agentCallTimeout)
 	defer cancel()
 	conn, err := p.Pool.Get(ctx, node.Address)
-	if err != nil || conn.Remote().Node != node.Name {
+	if err != nil || conn.RemoteHello().Node != node.Name {
 		return false
 	}
 	var reply wire.ReleaseReply
@@ -237,7 +237,7 @@
 
 // planDeletedModels releases the slots of models that are no longer declared and
 // deletes their plans once no slot is left.
-func (p *Placer) planDeletedModels(ctx context.Context, v *view.View) {
+func (p *Planner) planDeletedModels(ctx context.Context, v *view.View) {
 	for _, key := range v.PlanKeys() {
 		model, ok := strings.CutPrefix(key, "Plan/")
 		if !ok {
@@ -247,8 +247,8 @@
 			continue
 		}
 		after, action := p.removeReleased(ctx, v, v.Plan(key), "")
-		for _, s := range after.Active() {
-			after, action = after.WithState(s.Number, plan.Releasing), "SlotReleasing"
+		for _, s := range after.ActiveSlots() {
+			after, action = after.WithSlotState(s.Number, plan.Releasing), "SlotReleasing"
 		}
 		switch {
 		case len(after.Slots) == 0:
@@ -265,7 +265,7 @@
 // planPartitions assigns each claim partition of a service to an endpoint. A
 // partition moves without the old owner's confirmation, because the claim log
 // itself fences that owner off.
-func (p *Placer) planPartitions(ctx context.Context, v *view.View, s kinds.Resource) {
+func (p *Planner) planPartitions(ctx context.Context, v *view.View, s kinds.Resource) {
 	key := plan.ClaimKey(s.Name)
 	after, action := v.Plan(key), ""
 	after.Target = s.Name
@@ -304,7 +304,7 @@
 }
 
 // unreachable reports whether a node is deleted or has been unreachable for partitionMoveDelay.
-func (p *Placer) unreachable(ctx context.Context, v *view.View, name string) bool {
+func (p *Planner) unreachable(ctx context.Context, v *view.View, name string) bool {
 	node, ok := v.Node(name)
 	if !ok {
 		return true
--- a/internal/entry/route/table.go
+++ b/internal/entry/route/table.go
@@ -137,7 +137,7 @@
 	case target.Service != "":
 		names = v.Endpoints(target.Service)
 	default:
-		for _, s := range v.Plan(plan.ModelKey(target.Model)).Active() {
+		for _, s := range v.Plan(plan.ModelKey(target.Model)).ActiveSlots() {
 			names = append(names, s.Endpoint)
 		}
 	}
@@ -176,15 +176,15 @@
 
 // pickReplica returns the known state of a target at a node; the caller must hold mu.
 func (t *Table) pickReplica(node plan.Node, target Target) pick.Replica {
-	r := pick.Replica{Endpoint: node.Name, Local: node.Domain == t.domain, Loaded: target.Service != "", Capacity: 1}
+	r := pick.Replica{Endpoint: node.Name, SameDomain: node.Domain == t.domain, Loaded: target.Service != "", Capacity: 1}
 	k := t.loads[loadKey{node.Name, target.loadName()}]
 	if k == nil {
 		return r
 	}
 	fresh := time.Since(k.reportedAt) < loadReportMaxAge
 	r.Loaded = target.Service != "" || (k.load.Loaded && fresh)
-	r.Running, r.Queued, r.Capacity, r.Sent = k.load.Running, k.load.Queued, k.load.Capacity, k.sentSinceReport
-	r.Service, r.Cold = k.load.Service, k.load.Cold
+	r.Running, r.Queued, r.Capacity, r.SentSinceReport = k.load.Running, k.load.Queued, k.load.Capacity, k.sentSinceReport
+	r.ServiceTime, r.ColdStart = k.load.Service, k.load.Cold
 	return r
 }
 
@@ -199,8 +199,8 @@
 			continue
 		}
 		r := t.pickReplica(node, target)
-		if w := pick.Forecast(r); r.Loaded && (!ok || w < wait) {
-			wait, service, ok = w, r.Service, true
+		if w := pick.ForecastWait(r); r.Loaded && (!ok || w < wait) {
+			wait, service, ok = w, r.ServiceTime, true
 		}
 	}
 	return wait, service, ok
--- a/internal/front/orders/main_test.go
+++ /dev/null
@@ -1,9 +0,0 @@
-package orders
-
-import (
-	"testing"
-
-	"foxtailcroft/test/draws"
-)
-
-func TestMain(m *testing.M) { draws.Main(m, 100) }
--- a/internal/front/peers/peers.go
+++ b/internal/front/peers/peers.go
@@ -23,22 +23,22 @@
 // on top.
 const callTimeout = 800 * time.Millisecond
 
-// Want asks the planner for instances that can serve a model or adapter.
-type Want struct {
+// InstanceRequest asks the planner for instances that can serve a model or adapter.
+type InstanceRequest struct {
 	Service string
-	Target  site.Adapter
+	Target  site.Target
 	// Wait is how long the request can wait for an instance and still be served in time.
 	Wait time.Duration
 	// Answer is how long the planner may take to reply. The front then asks again,
 	// so that a planner that was replaced can't hold a request for longer.
 	Answer time.Duration
 	// Avoid are instances that the front recently failed to use.
-	Avoid []site.Key
+	Avoid []site.InstanceKey
 }
 
-// Found is the reply to a Want: instances that can serve now, or why there are none.
-type Found struct {
-	Instances []site.Key
+// InstanceReply is the reply to a Want: instances that can serve now, or why there are none.
+type InstanceReply struct {
+	Instances []site.InstanceKey
 	// Waiting is true if Answer ended before Wait, so that the front should ask again.
 	Waiting bool
 	// ReadyIn is the expected time until the target is loaded; 0 if unknown.
@@ -46,42 +46,42 @@
 	Reason  string
 }
 
-// Use is one front's use of a model or adapter at an instance since its last report.
-type Use struct {
-	Instance site.Key
-	Target   site.Adapter
+// TargetUsage is one front's use of a model or adapter at an instance since its last report.
+type TargetUsage struct {
+	Instance site.InstanceKey
+	Target   site.Target
 	Requests int
 	InFlight int
 	// Work is the time that the server spends on the prompts of these requests.
 	Work time.Duration
 }
 
-// Uses is one front's usage report.
-type Uses struct {
+// UsageReport is one front's usage report.
+type UsageReport struct {
 	Front string
-	Uses  []Use
+	Uses  []TargetUsage
 	// Asked counts the requests by target, served or not: those since the last
 	// report or, in the first report to a new planner, the decayed count of all.
-	Asked []Ask
+	Asked []RequestCount
 	// Pauses are the longest pauses in streams since the last report.
-	Pauses []Pause
+	Pauses []StreamPause
 }
 
-// Pause is the longest time between two events of a stream at an instance.
-type Pause struct {
-	Instance site.Key
+// StreamPause is the longest time between two events of a stream at an instance.
+type StreamPause struct {
+	Instance site.InstanceKey
 	Longest  time.Duration
 }
 
-// Ask is the number of requests for a model or adapter, fractional if decayed.
-type Ask struct {
-	Target   site.Adapter
+// RequestCount is the number of requests for a model or adapter, fractional if decayed.
+type RequestCount struct {
+	Target   site.Target
 	Requests float64
 }
 
-// Load is the load of an instance in its last report.
-type Load struct {
-	Instance site.Key
+// ServerLoad is the load of an instance in its last report.
+type ServerLoad struct {
+	Instance site.InstanceKey
 	Requests int
 	// Age is the age of the report.
 	Age time.Duration
@@ -92,7 +92,7 @@
 // PlannerStatus is the planner's reply to a usage report: the load of the busiest
 // servers, and what a successor would otherwise have to learn again.
 type PlannerStatus struct {
-	Loads []Load
+	Loads []ServerLoad
 	// StoreLoads is how many loads from the weight store run at full speed concurrently.
 	StoreLoads int
 	// Pending are the model loads in progress.
@@ -102,7 +102,7 @@
 // PendingLoad is a model that an instance is loading; In is the expected time until it
 // is ready.
 type PendingLoad struct {
-	Instance site.Key
+	Instance site.InstanceKey
 	Model    string
 	In       time.Duration
 }
@@ -110,12 +110,12 @@
 // Planner is the front's own planner, which is active only while the front holds the
 // planner's key.
 type Planner interface {
-	Want(ctx context.Context, w Want) (Found, error)
-	ApplyUsage(u Uses) PlannerStatus
+	RequestInstances(ctx context.Context, w InstanceRequest) (InstanceReply, error)
+	ApplyUsage(u UsageReport) PlannerStatus
 }
 
-// Peers calls the other fronts.
-type Peers struct {
+// Client calls the other fronts.
+type Client struct {
 	self  follow.Front
 	pool  *peer.Pool
 	state func() *follow.State
@@ -124,24 +124,24 @@
 }
 
 // New returns a client for the other fronts, and registers the handlers of their calls.
-func New(self follow.Front, pool *peer.Pool, mux *peer.Mux, f *follow.Follower, seeds []string, local Planner) *Peers {
-	m := &Peers{self: self, pool: pool, state: f.State, seeds: seeds, local: local}
+func New(self follow.Front, pool *peer.Pool, mux *peer.Mux, f *follow.Follower, seeds []string, local Planner) *Client {
+	m := &Client{self: self, pool: pool, state: f.State, seeds: seeds, local: local}
 	peer.OnCall(mux, methodNewer, func(_ context.Context, _ *peer.Conn, after int64) (store.List, error) {
 		list, _ := f.Snapshot(after)
 		return list, nil
 	})
-	peer.OnCall(mux, methodWant, func(ctx context.Context, _ *peer.Conn, w Want) (Found, error) {
-		return local.Want(ctx, w)
+	peer.OnCall(mux, methodWant, func(ctx context.Context, _ *peer.Conn, w InstanceRequest) (InstanceReply, error) {
+		return local.RequestInstances(ctx, w)
 	})
-	peer.OnCall(mux, methodUse, func(_ context.Context, _ *peer.Conn, u Uses) (PlannerStatus, error) {
+	peer.OnCall(mux, methodUse, func(_ context.Context, _ *peer.Conn, u UsageReport) (PlannerStatus, error) {
 		return local.ApplyUsage(u), nil
 	})
 	return m
 }
 
-// Newer asks up to two other fronts, chosen at random, for cluster state newer than a
+// FetchNewer asks up to two other fronts, chosen at random, for cluster state newer than a
 // revision; false if neither has it.
-func (m *Peers) Newer(ctx context.Context, revision int64) (store.List, bool) {
+func (m *Client) FetchNewer(ctx context.Context, revision int64) (store.List, bool) {
 	addresses := slices.Clone(m.seeds)
 	for _, f := range m.state().Fronts {
 		addresses = append(addresses, f.Address)
@@ -158,27 +158,27 @@
 	return store.List{}, false
 }
 
-// Want asks the current planner for instances. It returns a NoPlanner error if there
+// RequestInstances asks the current planner for instances. It returns a NoPlanner error if there
 // is no planner.
-func (m *Peers) Want(ctx context.Context, w Want) (Found, error) {
+func (m *Client) RequestInstances(ctx context.Context, w InstanceRequest) (InstanceReply, error) {
 	planner := m.state().Planner
 	if planner == nil {
-		return Found{}, &NoPlanner{}
+		return InstanceReply{}, &NoPlannerError{}
 	}
 	if planner.Run == m.self.Run {
-		return m.local.Want(ctx, w)
+		return m.local.RequestInstances(ctx, w)
 	}
-	var found Found
+	var found InstanceReply
 	err := m.call(ctx, planner.Address, methodWant, w.Answer+callTimeout, w, &found)
 	return found, err
 }
 
-// Use reports usage to the current planner. It returns a NoPlanner error if there is
+// ReportUsage reports usage to the current planner. It returns a NoPlanner error if there is
 // no planner.
-func (m *Peers) Use(ctx context.Context, u Uses) (PlannerStatus, error) {
+func (m *Client) ReportUsage(ctx context.Context, u UsageReport) (PlannerStatus, error) {
 	planner := m.state().Planner
 	if planner == nil {
-		return PlannerStatus{}, &NoPlanner{}
+		return PlannerStatus{}, &NoPlannerError{}
 	}
 	if planner.Run == m.self.Run {
 		return m.local.ApplyUsage(u), nil
@@ -188,21 +188,21 @@
 	return status, err
 }
 
-func (m *Peers) call(ctx context.Context, address, method string, timeout time.Duration, params, reply any) error {
+func (m *Client) call(ctx context.Context, address, method string, timeout time.Duration, params, reply any) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	conn, err := m.pool.Get(ctx, address)
 	if err != nil {
 		return err
 	}
-	defer conn.Begin()()
+	defer conn.BeginWork()()
 	return conn.Call(ctx, method, params, reply)
 }
 
-// NoPlanner is the error for calls while no front holds the planner's key.
-type NoPlanner struct{}
+// NoPlannerError is the error for calls while no front holds the planner's key.
+type NoPlannerError struct{}
 
 // Error implements the error interface.
-func (*NoPlanner) Error() string {
+func (*NoPlannerError) Error() string {
 	return "no front holds the planner's lease"
 }
--- a/internal/front/relay/answer.go
+++ b/internal/front/proxy/answer.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"context"
@@ -43,21 +43,21 @@
 	if err == nil && len(data) > maxAnswerBytes {
 		err = fmt.Errorf("answer over %d bytes", maxAnswerBytes)
 	}
-	res.Done(err == nil)
+	res.Finish(err == nil)
 	if ctx.Err() != nil {
 		return tryAnother
 	}
-	if err == nil && res.Status < http.StatusMultipleChoices && !c.server.dialect.Signed(res.Header) {
+	if err == nil && res.Status < http.StatusMultipleChoices && !c.server.dialect.IsSigned(res.Header) {
 		err = fmt.Errorf("answer without signature or with an encoding")
 	}
 	if err != nil {
-		c.server.tracker.recordOutcome(in.Key, true)
+		c.server.tracker.recordOutcome(in.InstanceKey, true)
 		c.reason = err.Error()
 		c.logAttempt("answer not whole", in, c.reason)
 		return c.handleFailure(true)
 	}
 	failed := res.Status >= http.StatusInternalServerError
-	c.server.tracker.recordOutcome(in.Key, failed)
+	c.server.tracker.recordOutcome(in.InstanceKey, failed)
 	if failed && c.stream == nil && c.reserveResend() {
 		c.logAttempt("instance failed", in, http.StatusText(res.Status))
 		return tryAnother
@@ -78,7 +78,7 @@
 
 // copyHeader copies the end-to-end headers of an answer.
 func (c *call) copyHeader(to, from http.Header) {
-	for name, values := range endToEndHeaders(from, c.server.dialect.ForAll) {
+	for name, values := range endToEndHeaders(from, c.server.dialect.IsEndToEnd) {
 		to[name] = values
 	}
 }
--- a/internal/front/relay/call.go
+++ b/internal/front/proxy/call.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"context"
@@ -29,11 +29,11 @@
 	arrivedAt time.Time
 	deadline  time.Time
 	state     *follow.State
-	request   site.Request
+	request   site.RequestInfo
 	route     *site.Route
 	service   string
 	body      []byte
-	tried     map[site.Key]bool
+	tried     map[site.InstanceKey]bool
 	// possibleRuns counts the attempts that an instance may have run.
 	possibleRuns int
 	// notRunAttempts counts the attempts that certainly did not run.
@@ -75,7 +75,7 @@
 		if !ok {
 			return
 		}
-		c.tried[in.Key] = true
+		c.tried[in.InstanceKey] = true
 		if c.sendTo(ctx, in) == requestEnded {
 			return
 		}
@@ -112,27 +112,27 @@
 func (c *call) sendTo(ctx context.Context, in site.Instance) nextStep {
 	t := c.server.tracker
 	buffered := c.route.Kind != site.Streaming
-	answered, ended := t.beginRequest(in.Key, &c.request, buffered)
+	answered, ended := t.beginRequest(in.InstanceKey, &c.request, buffered)
 	defer ended()
 	c.instanceID = in.ID
-	header := endToEndHeaders(c.r.Header, c.server.dialect.ForAll)
+	header := endToEndHeaders(c.r.Header, c.server.dialect.IsEndToEnd)
 	lastEvent := ""
 	if c.stream != nil {
 		lastEvent = c.stream.lastEventID
 	}
-	c.server.dialect.Outgoing(header, in.ID, time.Until(c.deadline), min(9, c.route.Rank), lastEvent)
-	res, err := c.server.pool.Do(ctx, conns.Target{Key: in.Key, Address: in.Address}, &conns.Request{
+	c.server.dialect.SetRequestHeaders(header, in.ID, time.Until(c.deadline), min(9, c.route.Priority), lastEvent)
+	res, err := c.server.pool.Do(ctx, conns.Target{InstanceKey: in.InstanceKey, Address: in.Address}, &conns.Request{
 		Method: c.r.Method, URI: c.r.RequestURI, Host: c.r.Host, Header: header, Body: c.body,
-		Mine: func(h http.Header) bool { return c.server.dialect.Answers(h, c.request.ID) },
+		IsOwn: func(h http.Header) bool { return c.server.dialect.MatchesRequest(h, c.request.ID) },
 	})
 	if err != nil {
 		return c.handleNoAnswer(ctx, in, err)
 	}
 	answered()
-	if load, ok := c.server.dialect.Load(res.Header); ok {
-		t.recordLoad(in.Key, load.Running+load.Waiting, time.Now())
+	if load, ok := c.server.dialect.DecodeLoad(res.Header); ok {
+		t.recordLoad(in.InstanceKey, load.Running+load.Waiting, time.Now())
 	}
-	if c.server.dialect.NotRun(res.Status, res.Header) {
+	if c.server.dialect.ReportsNotRun(res.Status, res.Header) {
 		return c.handleNotRun(in, res)
 	}
 	c.possibleRuns++
@@ -155,9 +155,9 @@
 	if ctx.Err() != nil {
 		return tryAnother
 	}
-	c.server.tracker.recordOutcome(in.Key, true)
+	c.server.tracker.recordOutcome(in.InstanceKey, true)
 	if !sent {
-		c.server.tracker.exclude(in.Key, refusedConnectionExclusion)
+		c.server.tracker.exclude(in.InstanceKey, refusedConnectionExclusion)
 	}
 	c.logAttempt("no answer", in, err.Error())
 	return c.handleFailure(sent)
@@ -181,7 +181,7 @@
 
 // reserveResend reports whether the request may be sent to one more instance, and charges the retry budget for it.
 func (c *call) reserveResend() bool {
-	return c.route.Repeatable() && c.possibleRuns < c.route.Attempts && time.Until(c.deadline) > minResendTime && c.server.takeResend(c.service)
+	return c.route.Retryable() && c.possibleRuns < c.route.MaxAttempts && time.Until(c.deadline) > minResendTime && c.server.takeResend(c.service)
 }
 
 // minResendTime is the time before the deadline below which a resend is pointless.
@@ -192,13 +192,13 @@
 	res.Discard()
 	c.notRunAttempts++
 	c.reason = "instance did not run it: " + http.StatusText(res.Status)
-	load, hasLoad := c.server.dialect.Load(res.Header)
+	load, hasLoad := c.server.dialect.DecodeLoad(res.Header)
 	switch {
-	case res.Status == http.StatusMisdirectedRequest, c.needsLoadedModel() && hasLoad && load.Running < load.Slots:
+	case res.Status == http.StatusMisdirectedRequest, c.needsLoadedModel() && hasLoad && load.Running < load.ConcurrentRequests:
 		// The model is absent or being unloaded: the instance says so, or rejects the request although it has free slots.
-		c.server.tracker.recordAbsence(in.Key, c.request.Target)
+		c.server.tracker.recordAbsence(in.InstanceKey, c.request.Target)
 	default:
-		c.server.tracker.exclude(in.Key, fullInstanceExclusion)
+		c.server.tracker.exclude(in.InstanceKey, fullInstanceExclusion)
 	}
 	c.logAttempt("not run", in, c.reason)
 	if c.notRunAttempts >= maxNotRunAttempts || !c.server.takeResend(c.service) {
@@ -231,7 +231,7 @@
 	}
 	c.outcome, c.status, c.reason = outcome, status, reason
 	h := c.w.Header()
-	c.server.dialect.Refuse(h, c.request.ID, retryAfter)
+	c.server.dialect.SetRefusalHeaders(h, c.request.ID, retryAfter)
 	h.Set("Content-Type", "application/json")
 	body, err := json.Marshal(struct{ Error string }{reason})
 	if err != nil {
--- a/internal/front/relay/find.go
+++ b/internal/front/proxy/find.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"foxtailcroft/internal/base/pause"
+	"foxtailcroft/internal/base/sleep"
 	"foxtailcroft/internal/core/site"
 	"foxtailcroft/internal/front/peers"
 )
@@ -41,7 +41,7 @@
 	for {
 		c.state = c.server.stateSource.State()
 		list := c.untried(c.candidates())
-		if chosen, ok := c.server.tracker.pickInstance(list, c.server.settings.Node.Domain, &c.request, c.route.MaxGap, c.server.pool.Connected); ok {
+		if chosen, ok := c.server.tracker.pickInstance(list, c.server.settings.Node.Domain, &c.request, c.route.MaxTokenGap, c.server.pool.HasIdle); ok {
 			c.lastChoice = chosen
 			return chosen.Instance, true
 		}
@@ -68,7 +68,7 @@
 
 // untried returns the instances that the request has not tried yet.
 func (c *call) untried(list []site.Instance) []site.Instance {
-	return slices.DeleteFunc(slices.Clone(list), func(in site.Instance) bool { return c.tried[in.Key] })
+	return slices.DeleteFunc(slices.Clone(list), func(in site.Instance) bool { return c.tried[in.InstanceKey] })
 }
 
 // waitForInstance waits until instances may be tried again; false if the request has ended.
@@ -83,7 +83,7 @@
 		return false
 	}
 	// All instances have rejected the request or a connection; they may have capacity again after a short delay.
-	pause.For(ctx, fullInstanceDelay)
+	sleep.For(ctx, fullInstanceDelay)
 	clear(c.tried)
 	return !c.endIfExpired(ctx)
 }
@@ -105,11 +105,11 @@
 		return false
 	}
 	askedAt := time.Now()
-	found, err := c.server.finder.Want(ctx, peers.Want{Service: c.service, Target: c.request.Target, Wait: remaining, Answer: plannerAskInterval, Avoid: c.unusableInstances()})
+	found, err := c.server.finder.RequestInstances(ctx, peers.InstanceRequest{Service: c.service, Target: c.request.Target, Wait: remaining, Answer: plannerAskInterval, Avoid: c.unusableInstances()})
 	if c.endIfExpired(ctx) {
 		return false
 	}
-	var noPlanner *peers.NoPlanner
+	var noPlanner *peers.NoPlannerError
 	if err != nil {
 		c.plannerlessTime += time.Since(askedAt)
 		if c.plannerlessTime > maxPlannerlessTime {
@@ -119,7 +119,7 @@
 		if !errors.As(err, &noPlanner) {
 			c.server.log.Warnw("planner call failed; asking again after a delay", "Request", c.request.ID, "Error", err.Error())
 		}
-		pause.For(ctx, plannerRetryDelay)
+		sleep.For(ctx, plannerRetryDelay)
 		return !c.endIfExpired(ctx)
 	}
 	if found.Waiting {
@@ -132,18 +132,18 @@
 	c.server.tracker.setHolders(c.request.Target, found.Instances)
 	clear(c.tried)
 	if len(c.candidates()) == 0 {
-		pause.For(ctx, fullInstanceDelay)
+		sleep.For(ctx, fullInstanceDelay)
 	}
 	return !c.endIfExpired(ctx)
 }
 
 // unusableInstances returns the instances that this request has tried, or that are excluded or lacked the model recently.
-func (c *call) unusableInstances() []site.Key {
+func (c *call) unusableInstances() []site.InstanceKey {
 	list := c.state.Serving(c.service)
 	out := c.server.tracker.unusable(list, c.request.Target)
 	for _, in := range list {
-		if c.tried[in.Key] && !slices.Contains(out, in.Key) {
-			out = append(out, in.Key)
+		if c.tried[in.InstanceKey] && !slices.Contains(out, in.InstanceKey) {
+			out = append(out, in.InstanceKey)
 		}
 	}
 	return out
@@ -151,10 +151,10 @@
 
 // patienceEnd returns when the caller is expected to abandon a stream without a first event, at the latest the deadline.
 func (c *call) patienceEnd() time.Time {
-	if c.route.Kind != site.Streaming || c.route.Goal <= 0 {
+	if c.route.Kind != site.Streaming || c.route.ResponseGoal <= 0 {
 		return c.deadline
 	}
-	givesUpAt := c.arrivedAt.Add(max(minPatience, patienceGoalFactor*c.route.Goal, patienceGapFactor*c.route.MaxGap))
+	givesUpAt := c.arrivedAt.Add(max(minPatience, patienceGoalFactor*c.route.ResponseGoal, patienceGapFactor*c.route.MaxTokenGap))
 	if givesUpAt.Before(c.deadline) {
 		return givesUpAt
 	}
--- a/internal/front/relay/history_test.go
+++ b/internal/front/proxy/history_test.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"fmt"
@@ -18,7 +18,7 @@
 	"github.com/sourcegraph/conc"
 
 	"foxtailcroft/internal/core/site"
-	"foxtailcroft/test/draws"
+	"foxtailcroft/test/seeds"
 )
 
 // orderService is the handler of all servers of a service, which share a count of orders.
@@ -151,7 +151,7 @@
 // twice, or run although they were refused.
 func TestOrderCountIsLinearizable(t *testing.T) {
 	const callers, callsPerCaller, histories = 4, 12, 8
-	firstSeed := draws.Seed()
+	firstSeed := seeds.FromEnvironment()
 	for seed := firstSeed; seed < firstSeed+histories; seed++ {
 		withRelay(t, 3, func(r *harness) {
 			service := &orderService{random: rand.New(rand.NewPCG(seed, 1))}
@@ -159,11 +159,11 @@
 				address := fmt.Sprintf("10.0.1.%d:80", i)
 				r.net.Serve(address, service)
 				id := fmt.Sprintf("ledger-%d", i)
-				r.state.Instances[id] = site.Instance{Key: site.Key{ID: id}, Service: "ledger", Address: address, Domain: "a", Slots: 4}
+				r.state.Instances[id] = site.Instance{InstanceKey: site.InstanceKey{ID: id}, Service: "ledger", Address: address, Domain: "a", ConcurrentRequests: 4}
 			}
 			for i := range r.state.Document.Routes {
 				if route := &r.state.Document.Routes[i]; strings.HasSuffix(route.Prefix, "safe/") {
-					route.Timeout, route.Shares = time.Second, []site.Share{{Service: "ledger", Weight: 1}}
+					route.Timeout, route.Split = time.Second, []site.WeightedService{{Service: "ledger", Weight: 1}}
 				}
 			}
 			r.state.Document.Services["ledger"] = &site.Service{Name: "ledger"}
--- a/internal/front/relay/log.go
+++ b/internal/front/proxy/log.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"net/http"
@@ -9,7 +9,7 @@
 
 // logAttempt logs an attempt that did not succeed at an instance, and why.
 func (c *call) logAttempt(event string, in site.Instance, reason string) {
-	c.server.log.Infow(event, "Request", c.request.ID, "Instance", in.ID, "Born", in.Born, "Announced", in.Seen,
+	c.server.log.Infow(event, "Request", c.request.ID, "Instance", in.ID, "Born", in.Born, "Announced", in.Revision,
 		"Sends", c.possibleRuns, "Unsent", c.notRunAttempts, "Reason", reason, "Ms", time.Since(c.arrivedAt).Milliseconds())
 }
 
@@ -37,7 +37,7 @@
 	log("request", "Request", c.request.ID, "Route", route.Name, "Kind", string(route.Kind), "Model", c.request.Target.Model, "Adapter", c.request.Target.Name,
 		"Prompt", c.request.PromptTokens, "Instance", c.instanceID, "Sends", c.possibleRuns, "Unsent", c.notRunAttempts, "Outcome", c.outcome, "Status", c.status,
 		"Reason", c.reason, "HeldMs", c.waited.Milliseconds(), "FirstMs", c.firstOutputAfter.Milliseconds(), "Ms", took.Milliseconds(), "Events", events, "GapMs", longestPause.Milliseconds(),
-		"MissingMs", c.lastChoice.Missing.Milliseconds(), "ReadingMs", c.lastChoice.Reading.Milliseconds(), "InFlight", c.lastChoice.InFlight, "Reported", c.lastChoice.Reported, "ReportedAgeMs", c.lastChoice.reportedLoadAge.Milliseconds(), "Of", c.lastChoice.candidateCount,
-		"GoalMs", route.Goal.Milliseconds(), "MaxGapMs", route.MaxGap.Milliseconds(),
-		"Patience", c.request.Patience.Milliseconds(), "Version", version, "Revision", c.state.Revision)
+		"MissingMs", c.lastChoice.MissingPrefill.Milliseconds(), "ReadingMs", c.lastChoice.PendingPrefill.Milliseconds(), "InFlight", c.lastChoice.InFlight, "Reported", c.lastChoice.Reported, "ReportedAgeMs", c.lastChoice.reportedLoadAge.Milliseconds(), "Of", c.lastChoice.candidateCount,
+		"GoalMs", route.ResponseGoal.Milliseconds(), "MaxGapMs", route.MaxTokenGap.Milliseconds(),
+		"Patience", c.request.Timeout.Milliseconds(), "Version", version, "Revision", c.state.Revision)
 }
--- a/internal/front/relay/log_test.go
+++ b/internal/front/proxy/log_test.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"encoding/json"
@@ -8,7 +8,7 @@
 
 	. "github.com/onsi/gomega"
 
-	"foxtailcroft/platform/mimic"
+	"foxtailcroft/platform/fake"
 )
 
 // logLines returns the log lines of a request, newest last.
@@ -42,7 +42,7 @@
 
 func TestLogShowsUnknownOutcomeAfterLostAnswer(t *testing.T) {
 	withRelay(t, 1, func(r *harness) {
-		r.setFaults(mimic.Faults{Lose: 1})
+		r.setFaults(fake.Faults{LostResponses: 1})
 		r.send(r.t.Context(), "/unsafe/x", "id-1")
 		lines := r.logLines("id-1")
 		r.g.Expect(lines).To(HaveLen(2))
@@ -55,7 +55,7 @@
 
 func TestLogShowsLateFirstEventOfSlowServer(t *testing.T) {
 	withRelay(t, 1, func(r *harness) {
-		r.setFaults(mimic.Faults{Slow: 1500 * time.Millisecond})
+		r.setFaults(fake.Faults{FirstByteDelay: 1500 * time.Millisecond})
 		r.send(r.t.Context(), "/stream/x", "id-1")
 		end := r.logLines("id-1")[0]
 		r.g.Expect(end).To(And(HaveKeyWithValue("Outcome", "answered"), HaveKeyWithValue("Instance", "llm-1"), HaveKeyWithValue("HeldMs", 0.0)))
--- a/internal/front/relay/pick.go
+++ b/internal/front/proxy/pick.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"math/rand/v2"
@@ -7,13 +7,13 @@
 
 	"foxtailcroft/internal/back/conns"
 	"foxtailcroft/internal/core/site"
-	"foxtailcroft/internal/policy/choose"
+	"foxtailcroft/internal/policy/score"
 )
 
 // choice is a chosen instance with the estimates that decided for it.
 type choice struct {
 	site.Instance
-	choose.Candidate
+	score.Candidate
 	// candidateCount is the number of instances that could have been chosen.
 	candidateCount int
 	// reportedLoadAge is the age of the instance's newest load report, 0 if there is none.
@@ -22,33 +22,33 @@
 
 // pickInstance returns the instance of the list with the lowest expected cost; ok
 // is false if all are excluded for now or lack the model.
-func (t *instanceTracker) pickInstance(list []site.Instance, domain string, r *site.Request, maxGap time.Duration, connected func(conns.Target) bool) (c choice, ok bool) {
+func (t *instanceTracker) pickInstance(list []site.Instance, domain string, r *site.RequestInfo, maxGap time.Duration, connected func(conns.Target) bool) (c choice, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := time.Now()
 	list = slices.DeleteFunc(slices.Clone(list), func(in site.Instance) bool {
-		s := t.statsOf(in.Key)
+		s := t.statsOf(in.InstanceKey)
 		return now.Sub(s.absentAt[r.Target]) < absenceValidity || now.Before(s.excludedUntil)
 	})
-	var candidates []choose.Candidate
+	var candidates []score.Candidate
 	for _, in := range list {
-		s := t.statsOf(in.Key)
-		c := choose.Candidate{
-			ID: in.ID, Near: in.Domain == domain, Connected: connected(conns.Target{Key: in.Key, Address: in.Address}), Slots: in.Slots, InFlight: s.totalInFlight, Reading: s.pendingPrefill,
-			Missing: t.prefillSpeeds[r.Target.Model].Time(s.uncachedTokens(r)), LongRead: choose.LongRead(maxGap), Failing: s.currentFailureShare(now), Answers: s.meanAnswerTime,
-			PauseRisk: choose.Risk(s.longestPause.Value(now), maxGap),
+		s := t.statsOf(in.InstanceKey)
+		c := score.Candidate{
+			ID: in.ID, SameDomain: in.Domain == domain, Connected: connected(conns.Target{InstanceKey: in.InstanceKey, Address: in.Address}), Slots: in.ConcurrentRequests, InFlight: s.totalInFlight, PendingPrefill: s.pendingPrefill,
+			MissingPrefill: t.prefillSpeeds[r.Target.Model].Duration(s.uncachedTokens(r)), LongPrefill: score.LongPrefill(maxGap), FailureShare: s.currentFailureShare(now), TimeToAnswer: s.meanAnswerTime,
+			PauseRisk: score.PauseRisk(s.longestPause.Value(now), maxGap),
 		}
 		if now.Sub(s.reportedAt) < reportedLoadValidity {
 			c.Reported = s.reportedRequests
 		}
 		candidates = append(candidates, c)
 	}
-	i := choose.Best(candidates, rand.Float64)
+	i := score.Best(candidates, rand.Float64)
 	if i < 0 {
 		return choice{}, false
 	}
 	chosen := choice{Instance: list[i], Candidate: candidates[i], candidateCount: len(list)}
-	if s := t.statsOf(list[i].Key); !s.reportedAt.IsZero() {
+	if s := t.statsOf(list[i].InstanceKey); !s.reportedAt.IsZero() {
 		chosen.reportedLoadAge = now.Sub(s.reportedAt)
 	}
 	return chosen, true
@@ -56,9 +56,9 @@
 
 // uncachedTokens returns the number of prompt tokens after the leading prompt parts
 // that the instance has read before for the same model and adapter.
-func (s *instanceStats) uncachedTokens(r *site.Request) int {
+func (s *instanceStats) uncachedTokens(r *site.RequestInfo) int {
 	total := r.PromptTokens
-	for _, p := range r.Parts {
+	for _, p := range r.PromptParts {
 		if _, ok := s.promptParts[promptPartKey(r.Target, p)]; !ok {
 			break
 		}
@@ -68,6 +68,6 @@
 }
 
 // promptPartKey returns the key of a prompt part read for a model and adapter.
-func promptPartKey(t site.Adapter, p site.Part) string {
+func promptPartKey(t site.Target, p site.PromptPart) string {
 	return t.Model + "/" + t.Name + "/" + p.ID
 }
--- a/internal/front/relay/raw_test.go
+++ b/internal/front/proxy/raw_test.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"bufio"
@@ -14,10 +14,10 @@
 	. "github.com/onsi/gomega"
 	"pgregory.net/rapid"
 
-	"foxtailcroft/test/draws"
+	"foxtailcroft/test/seeds"
 )
 
-func TestMain(m *testing.M) { draws.Main(m, 150) }
+func TestMain(m *testing.M) { seeds.RunTests(m, 150) }
 
 // rawRequest is a request as bytes, with the id and body length that a server may run.
 type rawRequest struct {
@@ -63,7 +63,7 @@
 // TestRawRequestsAreNotSmuggled sends drawn bytes over a caller's connection:
 // servers run no request that the caller did not send, none twice, and none with a different body.
 func TestRawRequestsAreNotSmuggled(t *testing.T) {
-	t.Logf("FOXTAILCROFT_SEED=%d", draws.Seed())
+	t.Logf("FOXTAILCROFT_SEED=%d", seeds.FromEnvironment())
 	rapid.Check(t, func(rt *rapid.T) {
 		var sent []rawRequest
 		for n := range rapid.IntRange(1, 5).Draw(rt, "requests") {
@@ -76,7 +76,7 @@
 			defer conn.Close()
 			r.sendRaw(conn, sent)
 			time.Sleep(5 * time.Second)
-			runs := r.executions.All()
+			runs := r.executions.Executions()
 			seen := map[string]bool{}
 			for _, run := range runs {
 				r.g.Expect(seen[run.ID]).To(BeFalse(), "%s ran twice", run.ID)
@@ -88,7 +88,7 @@
 					}
 				}
 				r.g.Expect(source).NotTo(BeNil(), "%s ran but was not sent", run.ID)
-				r.g.Expect(run.Body).To(Equal(source.bodyBytes), "body length of %q", source.bytes)
+				r.g.Expect(run.BodyBytes).To(Equal(source.bodyBytes), "body length of %q", source.bytes)
 			}
 		})
 	})
@@ -129,7 +129,7 @@
 		r.g.Expect(err).NotTo(HaveOccurred())
 		r.g.Expect(res.StatusCode).To(Equal(http.StatusRequestTimeout))
 		r.g.Expect(time.Since(began)).To(BeNumerically("<", time.Second))
-		r.g.Expect(r.executions.All()).To(BeEmpty())
+		r.g.Expect(r.executions.Executions()).To(BeEmpty())
 	})
 }
 
--- a/internal/front/relay/relay_test.go
+++ b/internal/front/proxy/relay_test.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"bytes"
@@ -21,19 +21,19 @@
 	"foxtailcroft/internal/front/peers"
 	"foxtailcroft/internal/plat/follow"
 	"foxtailcroft/platform"
-	"foxtailcroft/platform/mimic"
-	"foxtailcroft/test/pipes"
+	"foxtailcroft/platform/fake"
+	"foxtailcroft/test/memnet"
 )
 
 // harness is a relay in front of mimicked servers in one synctest bubble.
 type harness struct {
 	t            *testing.T
 	g            *WithT
-	net          *pipes.Network
+	net          *memnet.Network
 	stopServer   map[string]func()
-	executions   *mimic.Book
+	executions   *fake.ExecutionLog
 	relay        *Server
-	servers      []*mimic.Server
+	servers      []*fake.Server
 	state        *follow.State
 	plannerCalls int
 	log          *bytes.Buffer
@@ -42,20 +42,20 @@
 
 func (r *harness) State() *follow.State { return r.state }
 
-func (r *harness) Want(context.Context, peers.Want) (peers.Found, error) {
+func (r *harness) RequestInstances(context.Context, peers.InstanceRequest) (peers.InstanceReply, error) {
 	r.plannerCalls++
-	return peers.Found{Reason: "nowhere", ReadyIn: 2 * time.Second}, nil
+	return peers.InstanceReply{Reason: "nowhere", ReadyIn: 2 * time.Second}, nil
 }
 
 // withRelay runs a test against n servers of each service, of which those of llm
 // hold model m; routes begin with /safe/, /unsafe/, /resume/ and /stream/.
 func withRelay(t *testing.T, n int, test func(*harness)) {
 	synctest.Test(t, func(t *testing.T) {
-		r := &harness{t: t, g: NewWithT(t), net: pipes.New(), stopServer: map[string]func(){}, executions: &mimic.Book{}, log: &bytes.Buffer{}}
-		route := func(prefix string, kind site.Kind, attempts int, resumable bool, service string) site.Route {
+		r := &harness{t: t, g: NewWithT(t), net: memnet.New(), stopServer: map[string]func(){}, executions: &fake.ExecutionLog{}, log: &bytes.Buffer{}}
+		route := func(prefix string, kind site.RouteKind, attempts int, resumable bool, service string) site.Route {
 			return site.Route{
-				Name: prefix, Host: "h.example", Prefix: prefix, Kind: kind, Attempts: attempts, Resumable: resumable,
-				Timeout: 5 * time.Second, Goal: time.Second, Shares: []site.Share{{Service: service, Weight: 1}},
+				Name: prefix, Host: "h.example", Prefix: prefix, Kind: kind, MaxAttempts: attempts, Resumable: resumable,
+				Timeout: 5 * time.Second, ResponseGoal: time.Second, Split: []site.WeightedService{{Service: service, Weight: 1}},
 			}
 		}
 		r.state = &follow.State{
@@ -90,12 +90,12 @@
 func (r *harness) addServer(service string, i int) {
 	address := "10.0.0." + string(rune('1'+i)) + map[string]string{"plain": ":80", "llm": ":81"}[service]
 	id := service + "-" + string(rune('1'+i))
-	s := mimic.NewServer(mimic.Spec{
+	s := fake.NewServer(fake.Spec{
 		ID: id, Service: service, Address: address, Zone: "a", Slots: 4, EventTime: 20 * time.Millisecond,
 	}, r.executions, func() {}, "m")
 	r.stopServer[address] = r.net.Serve(address, s)
 	r.servers = append(r.servers, s)
-	in := site.Instance{Key: site.Key{ID: id}, Service: service, Address: address, Domain: "a", Slots: 4}
+	in := site.Instance{InstanceKey: site.InstanceKey{ID: id}, Service: service, Address: address, Domain: "a", ConcurrentRequests: 4}
 	if service == "llm" {
 		in.Models = []string{"m"}
 	}
@@ -103,7 +103,7 @@
 }
 
 // setFaults sets the same faults on all servers.
-func (r *harness) setFaults(f mimic.Faults) {
+func (r *harness) setFaults(f fake.Faults) {
 	for _, s := range r.servers {
 		s.SetFaults(f)
 	}
@@ -143,31 +143,31 @@
 	cases := []struct {
 		name    string
 		path    string
-		faults  mimic.Faults
+		faults  fake.Faults
 		status  int
 		body    string
 		runs    int
 		aborted bool
 	}{
-		{"safe", "/safe/x", mimic.Faults{}, 200, "served", 1, false},
-		{"unsafe", "/unsafe/x", mimic.Faults{}, 200, "served", 1, false},
-		{"stream", "/stream/x", mimic.Faults{}, 200, completeStream, 1, false},
-		{"no route", "/none/x", mimic.Faults{}, 404, "", 0, false},
-		{"safe, every answer lost: sent twice", "/safe/x", mimic.Faults{Lose: 9}, 502, "", 2, false},
-		{"unsafe, answer lost: never resent", "/unsafe/x", mimic.Faults{Lose: 9}, 502, "", 1, false},
-		{"stream, answer lost: never resent", "/stream/x", mimic.Faults{Lose: 9}, 502, "", 1, false},
-		{"unsafe, all servers full: refused", "/unsafe/x", mimic.Faults{Shed: 99}, 503, "", 0, false},
-		{"unsafe, truncated answer: never resent", "/unsafe/x", mimic.Faults{Cut: 9}, 502, "", 1, false},
-		{"safe, truncated answers: sent twice", "/safe/x", mimic.Faults{Cut: 9}, 502, "", 2, false},
-		{"answer without a length", "/unsafe/x", mimic.Faults{Unframed: true}, 200, "served", 1, false},
-		{"second answer on the same connection is ignored", "/unsafe/x", mimic.Faults{Extra: true}, 200, "served", 1, false},
-		{"unsigned", "/unsafe/x", mimic.Faults{Unsigned: true}, 502, "", 1, false},
-		{"encoded", "/unsafe/x", mimic.Faults{Encoded: true}, 502, "", 1, false},
-		{"unsigned stream is rejected", "/stream/x", mimic.Faults{Unsigned: true}, 502, "", 1, false},
-		{"unsafe, server error is passed on", "/unsafe/x", mimic.Faults{Fail: 9}, 500, "", 1, false},
-		{"safe, all servers fail: last error is passed on", "/safe/x", mimic.Faults{Fail: 9}, 500, "", 2, false},
-		{"unsafe, server hangs until the deadline", "/unsafe/x", mimic.Faults{Hang: true}, 504, "", 1, false},
-		{"truncated stream is aborted visibly", "/stream/x", mimic.Faults{Cut: 9, CutAfter: 2}, 200, "id: 1\ndata: piece 1\n\nid: 2\ndata: piece 2\n\n", 1, true},
+		{"safe", "/safe/x", fake.Faults{}, 200, "served", 1, false},
+		{"unsafe", "/unsafe/x", fake.Faults{}, 200, "served", 1, false},
+		{"stream", "/stream/x", fake.Faults{}, 200, completeStream, 1, false},
+		{"no route", "/none/x", fake.Faults{}, 404, "", 0, false},
+		{"safe, every answer lost: sent twice", "/safe/x", fake.Faults{LostResponses: 9}, 502, "", 2, false},
+		{"unsafe, answer lost: never resent", "/unsafe/x", fake.Faults{LostResponses: 9}, 502, "", 1, false},
+		{"stream, answer lost: never resent", "/stream/x", fake.Faults{LostResponses: 9}, 502, "", 1, false},
+		{"unsafe, all servers full: refused", "/unsafe/x", fake.Faults{RejectedAsFull: 99}, 503, "", 0, false},
+		{"unsafe, truncated answer: never resent", "/unsafe/x", fake.Faults{TruncatedResponses: 9}, 502, "", 1, false},
+		{"safe, truncated answers: sent twice", "/safe/x", fake.Faults{TruncatedResponses: 9}, 502, "", 2, false},
+		{"answer without a length", "/unsafe/x", fake.Faults{Unframed: true}, 200, "served", 1, false},
+		{"second answer on the same connection is ignored", "/unsafe/x", fake.Faults{Extra: true}, 200, "served", 1, false},
+		{"unsigned", "/unsafe/x", fake.Faults{Unsigned: true}, 502, "", 1, false},
+		{"encoded", "/unsafe/x", fake.Faults{Encoded: true}, 502, "", 1, false},
+		{"unsigned stream is rejected", "/stream/x", fake.Faults{Unsigned: true}, 502, "", 1, false},
+		{"unsafe, server error is passed on", "/unsafe/x", fake.Faults{FailedResponses: 9}, 500, "", 1, false},
+		{"safe, all servers fail: last error is passed on", "/safe/x", fake.Faults{FailedResponses: 9}, 500, "", 2, false},
+		{"unsafe, server hangs until the deadline", "/unsafe/x", fake.Faults{HangResponses: true}, 504, "", 1, false},
+		{"truncated stream is aborted visibly", "/stream/x", fake.Faults{TruncatedResponses: 9, TruncateAfterEvent: 2}, 200, "id: 1\ndata: piece 1\n\nid: 2\ndata: piece 2\n\n", 1, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -197,16 +197,16 @@
 	cases := []struct {
 		name   string
 		path   string
-		faults mimic.Faults
+		faults fake.Faults
 		status int
 		body   string
 		runs   int
 	}{
-		{"safe, answer lost", "/safe/x", mimic.Faults{Lose: 1}, 200, "served", 2},
-		{"safe, server failed", "/safe/x", mimic.Faults{Fail: 1}, 200, "served", 2},
-		{"resumable stream, answer lost", "/resume/x", mimic.Faults{Lose: 1}, 200, completeStream, 2},
-		{"resumable stream cut inside an event", "/resume/x", mimic.Faults{Cut: 1, CutAfter: 2}, 200, completeStream, 2},
-		{"unsafe, one server full", "/unsafe/x", mimic.Faults{Shed: 1}, 200, "served", 1},
+		{"safe, answer lost", "/safe/x", fake.Faults{LostResponses: 1}, 200, "served", 2},
+		{"safe, server failed", "/safe/x", fake.Faults{FailedResponses: 1}, 200, "served", 2},
+		{"resumable stream, answer lost", "/resume/x", fake.Faults{LostResponses: 1}, 200, completeStream, 2},
+		{"resumable stream cut inside an event", "/resume/x", fake.Faults{TruncatedResponses: 1, TruncateAfterEvent: 2}, 200, completeStream, 2},
+		{"unsafe, one server full", "/unsafe/x", fake.Faults{RejectedAsFull: 1}, 200, "served", 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -242,13 +242,13 @@
 
 func TestResumeSendsLastCompleteEventID(t *testing.T) {
 	withRelay(t, 2, func(r *harness) {
-		r.setFaults(mimic.Faults{Cut: 1, CutAfter: 3})
+		r.setFaults(fake.Faults{TruncatedResponses: 1, TruncateAfterEvent: 3})
 		w, aborted := r.send(r.t.Context(), "/resume/x", "id-1")
 		r.g.Expect(aborted).To(BeTrue(), "both servers truncate the stream, and the route allows two attempts")
 		r.g.Expect(w.Body.String()).To(Equal(completeStream[:strings.Index(completeStream, "id: 4")]), "only complete events are passed on")
 		runs := r.executions.Runs("id-1")
 		r.g.Expect(runs).To(HaveLen(2))
-		r.g.Expect(runs[1].From).To(Equal("3"))
+		r.g.Expect(runs[1].LastEventID).To(Equal("3"))
 	})
 }
 
@@ -256,7 +256,7 @@
 // server hang until the deadline: nothing may follow the events already sent.
 func TestTimeoutDuringResumedStreamAddsNothing(t *testing.T) {
 	withRelay(t, 2, func(r *harness) {
-		r.setFaults(mimic.Faults{Cut: 1, CutAfter: 2, HangAfter: true})
+		r.setFaults(fake.Faults{TruncatedResponses: 1, TruncateAfterEvent: 2, HangResumed: true})
 		w, aborted := r.send(r.t.Context(), "/resume/x", "id-1")
 		r.g.Expect(aborted).To(BeTrue())
 		r.g.Expect(w.Body.String()).To(Equal(completeStream[:strings.Index(completeStream, "id: 3")]))
@@ -295,14 +295,14 @@
 		_, aborted := r.send(ctx, "/stream/x", "id-1")
 		r.g.Expect(aborted).To(BeTrue())
 		time.Sleep(500 * time.Millisecond)
-		r.g.Expect(r.servers[1].Running()).To(BeZero(), "the relay closes the connection, which stops the server")
+		r.g.Expect(r.servers[1].RunningRequests()).To(BeZero(), "the relay closes the connection, which stops the server")
 	})
 }
 
 func TestRouteTimeoutIsEnforced(t *testing.T) {
 	withRelay(t, 1, func(r *harness) {
 		r.state.Document.Routes[1].Timeout = time.Second
-		r.setFaults(mimic.Faults{Hang: true})
+		r.setFaults(fake.Faults{HangResponses: true})
 		began := time.Now()
 		w, _ := r.send(r.t.Context(), "/unsafe/x", "id-1")
 		r.g.Expect(w.Code).To(Equal(504))
@@ -330,7 +330,7 @@
 
 func TestResendsStayWithinTheBudget(t *testing.T) {
 	withRelay(t, 3, func(r *harness) {
-		r.setFaults(mimic.Faults{Fail: 1 << 20})
+		r.setFaults(fake.Faults{FailedResponses: 1 << 20})
 		const requests = 200
 		sends := 0
 		for i := range requests {
--- a/internal/front/relay/server.go
+++ b/internal/front/proxy/server.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"context"
@@ -26,27 +26,27 @@
 
 // Dialect reads and writes the deployment's headers of requests and answers.
 type Dialect interface {
-	// Request decodes a caller's headers.
-	Request(h http.Header) site.Request
-	// ForAll reports whether a header is end-to-end even if a Connection header names it.
-	ForAll(name string) bool
-	// Outgoing sets the headers of a request to an instance; an empty lastEvent resumes nothing.
-	Outgoing(h http.Header, instance string, left time.Duration, priority int, lastEvent string)
-	// Answers reports whether an answer belongs to the request with an id.
-	Answers(h http.Header, id string) bool
-	// Signed reports whether an answer has the signature of an instance and no content encoding.
-	Signed(h http.Header) bool
-	// NotRun reports whether the instance states that it did not run the request.
-	NotRun(status int, h http.Header) bool
-	// Load decodes the instance's load; false if the answer has none.
-	Load(h http.Header) (site.Load, bool)
-	// Refuse sets the headers of the front's own refusals and errors.
-	Refuse(h http.Header, id string, after time.Duration)
+	// DecodeRequest decodes a caller's headers.
+	DecodeRequest(h http.Header) site.RequestInfo
+	// IsEndToEnd reports whether a header is end-to-end even if a Connection header names it.
+	IsEndToEnd(name string) bool
+	// SetRequestHeaders sets the headers of a request to an instance; an empty lastEvent resumes nothing.
+	SetRequestHeaders(h http.Header, instance string, left time.Duration, priority int, lastEvent string)
+	// MatchesRequest reports whether an answer belongs to the request with an id.
+	MatchesRequest(h http.Header, id string) bool
+	// IsSigned reports whether an answer has the signature of an instance and no content encoding.
+	IsSigned(h http.Header) bool
+	// ReportsNotRun reports whether the instance states that it did not run the request.
+	ReportsNotRun(status int, h http.Header) bool
+	// DecodeLoad decodes the instance's load; false if the answer has none.
+	DecodeLoad(h http.Header) (site.ServerLoad, bool)
+	// SetRefusalHeaders sets the headers of the front's own refusals and errors.
+	SetRefusalHeaders(h http.Header, id string, after time.Duration)
 }
 
 // InstanceFinder asks the planner for instances that can serve a model.
 type InstanceFinder interface {
-	Want(ctx context.Context, w peers.Want) (peers.Found, error)
+	RequestInstances(ctx context.Context, w peers.InstanceRequest) (peers.InstanceReply, error)
 }
 
 // StateSource returns the newest known state of the deployment.
@@ -68,14 +68,14 @@
 	stopTime atomic.Pointer[time.Time]
 	mu       sync.Mutex
 	// retryBudgets are this front's shares of the retry budgets, by service.
-	retryBudgets map[string]retry.Share
+	retryBudgets map[string]retry.BudgetShare
 }
 
 // New returns a server without statistics of instances and with full retry budgets.
 func New(settings conf.Front, stateSource StateSource, pool *conns.Pool, d Dialect, finder InstanceFinder, meters *metrics.Set, log *zap.SugaredLogger) *Server {
 	return &Server{
 		settings: settings, stateSource: stateSource, pool: pool, dialect: d, finder: finder, tracker: newInstanceTracker(),
-		log: log, meters: meters, retryBudgets: map[string]retry.Share{},
+		log: log, meters: meters, retryBudgets: map[string]retry.BudgetShare{},
 	}
 }
 
@@ -87,16 +87,16 @@
 
 // TakeUsage returns the usage of models since the last call; with allRecent, meant for
 // a new planner, the request counts are the decayed weights of all past requests.
-func (s *Server) TakeUsage(allRecent bool) peers.Uses {
+func (s *Server) TakeUsage(allRecent bool) peers.UsageReport {
 	state := s.stateSource.State()
-	return s.tracker.takeUsage(s.settings.Node.Name, allRecent, func(k site.Key) bool {
+	return s.tracker.takeUsage(s.settings.Node.Name, allRecent, func(k site.InstanceKey) bool {
 		in, ok := state.Instances[k.ID]
-		return ok && in.Key == k
+		return ok && in.InstanceKey == k
 	})
 }
 
 // RecordLoads records the loads and longest pauses of instances that the planner knows from all fronts.
-func (s *Server) RecordLoads(loads []peers.Load) {
+func (s *Server) RecordLoads(loads []peers.ServerLoad) {
 	for _, l := range loads {
 		s.tracker.recordLoad(l.Instance, l.Requests, time.Now().Add(-l.Age))
 		if l.Pause > 0 {
@@ -110,7 +110,7 @@
 
 // ServeHTTP serves one caller's request to its end and logs it.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	c := &call{server: s, w: w, r: r, arrivedAt: time.Now(), state: s.stateSource.State(), request: s.dialect.Request(r.Header), tried: map[site.Key]bool{}}
+	c := &call{server: s, w: w, r: r, arrivedAt: time.Now(), state: s.stateSource.State(), request: s.dialect.DecodeRequest(r.Header), tried: map[site.InstanceKey]bool{}}
 	defer c.logRequest()
 	doc := c.state.Document
 	if doc == nil {
@@ -127,7 +127,7 @@
 		c.refuse(http.StatusNotFound, "no route", 0)
 		return
 	}
-	c.service = c.route.Pick(xxhash.Sum64String(c.request.ID))
+	c.service = c.route.PickService(xxhash.Sum64String(c.request.ID))
 	c.deadline = c.arrivedAt.Add(c.timeLimit())
 	if !c.readBody(doc.Limits.BodyBytes) {
 		return
@@ -141,8 +141,8 @@
 // timeLimit returns how long the request may take: the lower of the route's timeout and the caller's.
 func (c *call) timeLimit() time.Duration {
 	limit := c.route.Timeout
-	if c.request.Patience > 0 && (limit <= 0 || c.request.Patience < limit) {
-		limit = c.request.Patience
+	if c.request.Timeout > 0 && (limit <= 0 || c.request.Timeout < limit) {
+		limit = c.request.Timeout
 	}
 	if limit <= 0 {
 		limit = defaultTimeLimit
@@ -205,10 +205,10 @@
 const budgetSharesPerFront = 2
 
 // retryBudget returns a service's retry budget, a new one at first; the caller holds the lock.
-func (s *Server) retryBudget(service string) retry.Share {
+func (s *Server) retryBudget(service string) retry.BudgetShare {
 	b, ok := s.retryBudgets[service]
 	if !ok {
-		b = retry.NewShare(s.settings.Retry.Ratio, s.settings.Retry.Slack, budgetSharesPerFront*max(1, len(s.stateSource.State().Fronts)))
+		b = retry.NewBudgetShare(s.settings.Retry.Ratio, s.settings.Retry.Slack, budgetSharesPerFront*max(1, len(s.stateSource.State().Fronts)))
 	}
 	return b
 }
--- a/internal/front/relay/stream.go
+++ b/internal/front/proxy/stream.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"bufio"
@@ -40,9 +40,9 @@
 
 // relayStream passes events on as they arrive; a broken stream is resumed at another instance where that is allowed.
 func (c *call) relayStream(ctx context.Context, in site.Instance, res *conns.Response) nextStep {
-	if !c.server.dialect.Signed(res.Header) {
-		res.Done(false)
-		c.server.tracker.recordOutcome(in.Key, true)
+	if !c.server.dialect.IsSigned(res.Header) {
+		res.Finish(false)
+		c.server.tracker.recordOutcome(in.InstanceKey, true)
 		c.reason = "stream without signature or with an encoding"
 		return c.handleFailure(true)
 	}
@@ -50,22 +50,22 @@
 	for {
 		event, id, err := readEvent(reader)
 		if errors.Is(err, io.EOF) && len(event) == 0 {
-			res.Done(true)
+			res.Finish(true)
 			return c.endStream(in, res)
 		}
 		if err != nil {
-			res.Done(false)
+			res.Finish(false)
 			return c.handleBrokenStream(ctx, in, err)
 		}
-		if err := c.relayEvent(in.Key, res, event, id); err != nil {
-			res.Done(false)
+		if err := c.relayEvent(in.InstanceKey, res, event, id); err != nil {
+			res.Finish(false)
 			c.endCallerLeft()
 		}
 	}
 }
 
 // relayEvent writes one event to the caller, preceded by the header if it is the first.
-func (c *call) relayEvent(key site.Key, res *conns.Response, event []byte, id string) error {
+func (c *call) relayEvent(key site.InstanceKey, res *conns.Response, event []byte, id string) error {
 	c.writeHead(res)
 	if id != "" {
 		c.stream.lastEventID = id
@@ -74,8 +74,8 @@
 	if c.stream.eventCount > 0 {
 		gap := now.Sub(c.stream.lastEventAt)
 		c.stream.longestPause = max(c.stream.longestPause, gap)
-		if c.route.MaxGap > 0 && gap > c.route.MaxGap/recordedPauseDivisor {
-			c.server.tracker.recordPause(key, min(gap, c.route.MaxGap*maxRecordedPausePercent/100))
+		if c.route.MaxTokenGap > 0 && gap > c.route.MaxTokenGap/recordedPauseDivisor {
+			c.server.tracker.recordPause(key, min(gap, c.route.MaxTokenGap*maxRecordedPausePercent/100))
 		}
 	}
 	c.stream.eventCount++
@@ -91,7 +91,7 @@
 	if c.stream != nil {
 		return
 	}
-	c.stream = &stream{lastEventID: c.request.LastEvent}
+	c.stream = &stream{lastEventID: c.request.LastEventID}
 	c.firstOutputAfter = time.Since(c.arrivedAt)
 	c.copyHeader(c.w.Header(), res.Header)
 	c.w.WriteHeader(res.Status)
@@ -100,7 +100,7 @@
 // endStream ends a request whose stream is complete.
 func (c *call) endStream(in site.Instance, res *conns.Response) nextStep {
 	c.writeHead(res)
-	c.server.tracker.recordOutcome(in.Key, false)
+	c.server.tracker.recordOutcome(in.InstanceKey, false)
 	c.outcome, c.status = outcomeAnswered, res.Status
 	return requestEnded
 }
@@ -111,7 +111,7 @@
 	if ctx.Err() != nil {
 		return tryAnother
 	}
-	c.server.tracker.recordOutcome(in.Key, true)
+	c.server.tracker.recordOutcome(in.InstanceKey, true)
 	c.logAttempt("stream ended with an error", in, c.reason)
 	return c.handleFailure(true)
 }
