--- a/internal/plat/follow/state.go
+++ b/internal/plat/follow/state.go
@@ -12,12 +12,12 @@
 
 // Keys in the store that foxtailcroft itself writes.
 const (
-	// OwnPrefix is the common prefix of these keys.
-	OwnPrefix = "foxtailcroft/"
+	// SystemPrefix is the common prefix of these keys.
+	SystemPrefix = "foxtailcroft/"
 	// FrontPrefix is the prefix of the fronts' registrations, which expire with their leases.
-	FrontPrefix = OwnPrefix + "fronts/"
+	FrontPrefix = SystemPrefix + "fronts/"
 	// PlannerKey holds the front with the planner role; the key's revision is the fencing token.
-	PlannerKey = OwnPrefix + "planner"
+	PlannerKey = SystemPrefix + "planner"
 )
 
 // Front is a registered front process of the site.
@@ -31,7 +31,7 @@
 // Planner is the front with the planner role, and its fencing token.
 type Planner struct {
 	Front
-	Fence int64
+	FencingToken int64
 }
 
 // State is an immutable view of the site at one store revision.
@@ -54,7 +54,7 @@
 func (s *State) Serving(service string) []site.Instance {
 	var out []site.Instance
 	for _, in := range s.Instances {
-		if in.Service == service && !in.Leaving {
+		if in.Service == service && !in.Draining {
 			out = append(out, in)
 		}
 	}
@@ -94,7 +94,7 @@
 	if kv, ok := keys[PlannerKey]; ok {
 		var front Front
 		if err := json.Unmarshal(kv.Value, &front); err == nil {
-			s.Planner = &Planner{Front: front, Fence: kv.Revision}
+			s.Planner = &Planner{Front: front, FencingToken: kv.Revision}
 		}
 	}
 	return s
@@ -122,7 +122,7 @@
 func (f *Follower) decodeInstance(old, s *State, kv store.KV) {
 	id := strings.TrimPrefix(kv.Key, f.layout.InstancePrefix)
 	before, known := old.Instances[id]
-	if known && before.Seen == kv.Revision {
+	if known && before.Revision == kv.Revision {
 		s.Instances[id] = before
 		return
 	}
@@ -134,8 +134,8 @@
 		return
 	}
 	s.Instances[id] = in
-	if !known || before.Leaving != in.Leaving || before.Key != in.Key || before.Address != in.Address {
-		f.log.Infow("instance", "Instance", in.ID, "Born", in.Born, "Service", in.Service, "Address", in.Address, "Leaving", in.Leaving, "Models", in.Models, "Revision", kv.Revision)
+	if !known || before.Draining != in.Draining || before.InstanceKey != in.InstanceKey || before.Address != in.Address {
+		f.log.Infow("instance", "Instance", in.ID, "Born", in.Born, "Service", in.Service, "Address", in.Address, "Leaving", in.Draining, "Models", in.Models, "Revision", kv.Revision)
 	}
 }
 
--- a/internal/plat/ledger/ledger.go
+++ b/internal/plat/ledger/ledger.go
@@ -71,7 +71,7 @@
 	} else {
 		t.Puts = append(t.Puts, store.Put{Key: store.StatePrefix + c.Key, Value: c.After})
 	}
-	res, err := store.Settle(ctx, l.store, t, witness)
+	res, err := store.CommitOnce(ctx, l.store, t, witness)
 	if err != nil {
 		return 0, err
 	}
@@ -84,8 +84,8 @@
 }
 
 func conflictError(c Change, res store.Result) error {
-	out := &fault.Conflict{Key: c.Key, Expected: c.From}
-	for _, kv := range res.Found {
+	out := &fault.RevisionConflict{Key: c.Key, Expected: c.From}
+	for _, kv := range res.Current {
 		if kv.Key == store.StatePrefix+c.Key {
 			out.Actual = kv.Revision
 		}
--- a/internal/plat/store/client.go
+++ b/internal/plat/store/client.go
@@ -145,7 +145,7 @@
 			continue
 		}
 		for _, kv := range r.Range.KVs {
-			res.Found = append(res.Found, kv.toKV())
+			res.Current = append(res.Current, kv.toKV())
 		}
 	}
 	return res, nil
@@ -226,7 +226,7 @@
 			if window.Err() != nil && ctx.Err() == nil {
 				return after, nil
 			}
-			return after, &fault.Away{Part: "store watch", Err: err}
+			return after, &fault.Unavailable{Service: "store watch", Err: err}
 		}
 		if reply.Result.CompactRevision > 0 {
 			return after, &Compacted{Revision: reply.Result.CompactRevision}
@@ -256,7 +256,7 @@
 	defer func() { _ = resp.Body.Close() }()
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxReplyBytes)).Decode(reply); err != nil {
 		c.failedCalls.Inc()
-		return &fault.Away{Part: "store", Err: err, Unsettled: true}
+		return &fault.Unavailable{Service: "store", Err: err, MayHaveApplied: true}
 	}
 	return nil
 }
@@ -264,7 +264,7 @@
 // post sends one request under the rate limit; a status other than 200 is an error.
 func (c *Client) post(ctx context.Context, path string, req any) (*http.Response, error) {
 	if err := c.limiter.Wait(ctx); err != nil {
-		return nil, &fault.Away{Part: "store", Err: fmt.Errorf("waiting for the client's rate limit: %w", err)}
+		return nil, &fault.Unavailable{Service: "store", Err: fmt.Errorf("waiting for the client's rate limit: %w", err)}
 	}
 	c.calls.Inc()
 	body, err := json.Marshal(req)
@@ -279,13 +279,13 @@
 	resp, err := c.http.Do(r)
 	if err != nil {
 		c.failedCalls.Inc()
-		return nil, &fault.Away{Part: "store", Err: err, Unsettled: true}
+		return nil, &fault.Unavailable{Service: "store", Err: err, MayHaveApplied: true}
 	}
 	if resp.StatusCode != http.StatusOK {
 		c.failedCalls.Inc()
 		text, _ := io.ReadAll(io.LimitReader(resp.Body, 512))
 		err := errors.Join(fmt.Errorf("%s answered %s: %s", path, resp.Status, text), resp.Body.Close())
-		return nil, &fault.Away{Part: "store", Err: err, Unsettled: resp.StatusCode >= http.StatusInternalServerError}
+		return nil, &fault.Unavailable{Service: "store", Err: err, MayHaveApplied: resp.StatusCode >= http.StatusInternalServerError}
 	}
 	return resp, nil
 }
--- a/internal/plat/store/store.go
+++ b/internal/plat/store/store.go
@@ -48,8 +48,8 @@
 type Result struct {
 	Succeeded bool
 	Revision  int64
-	// Found holds the current values of the compared keys if the transaction was not applied.
-	Found []KV
+	// Current holds the current values of the compared keys if the transaction was not applied.
+	Current []KV
 }
 
 // Event is a change of one key; a deletion has no value.
@@ -96,10 +96,10 @@
 	settleMaxInterval     = time.Second
 )
 
-// Settle commits a transaction and retries while the outcome is unknown because
+// CommitOnce commits a transaction and retries while the outcome is unknown because
 // a response was lost. The witness is a key that only this transaction creates;
 // finding it proves that an earlier attempt was applied.
-func Settle(ctx context.Context, s Store, t Txn, witness string) (Result, error) {
+func CommitOnce(ctx context.Context, s Store, t Txn, witness string) (Result, error) {
 	t.If = append([]Compare{{Key: witness}}, t.If...)
 	pause := backoff.NewExponentialBackOff()
 	pause.InitialInterval = settleInitialInterval
@@ -108,8 +108,8 @@
 	return backoff.Retry(ctx, func() (Result, error) {
 		res, err := s.Commit(ctx, t)
 		if err != nil {
-			var away *fault.Away
-			if !fault.As(err, &away) || !away.Unsettled {
+			var away *fault.Unavailable
+			if !fault.As(err, &away) || !away.MayHaveApplied {
 				if unsettled {
 					return Result{}, err
 				}
@@ -118,7 +118,7 @@
 			unsettled = true
 			return Result{}, err
 		}
-		for _, kv := range res.Found {
+		for _, kv := range res.Current {
 			if kv.Key == witness {
 				return Result{Succeeded: true, Revision: kv.Revision}, nil
 			}
--- a/internal/policy/fade/fade.go
+++ b/internal/policy/decay/fade.go
@@ -1,4 +1,4 @@
-package fade
+package decay
 
 import (
 	"math"
@@ -14,8 +14,8 @@
 	updatedAt time.Time
 }
 
-// Weight returns the decayed number of events.
-func (c Count) Weight(now time.Time) float64 {
+// Value returns the decayed number of events.
+func (c Count) Value(now time.Time) float64 {
 	if c.weight == 0 {
 		return 0
 	}
@@ -24,10 +24,10 @@
 
 // Add returns the count after n more events.
 func (c Count) Add(n float64, now time.Time) Count {
-	return Count{weight: c.Weight(now) + n, updatedAt: now}
+	return Count{weight: c.Value(now) + n, updatedAt: now}
 }
 
 // Rate returns the estimated number of events per second.
 func (c Count) Rate(now time.Time) float64 {
-	return c.Weight(now) / TimeConstant.Seconds()
+	return c.Value(now) / TimeConstant.Seconds()
 }
--- a/internal/policy/fade/peak.go
+++ b/internal/policy/decay/peak.go
@@ -1,4 +1,4 @@
-package fade
+package decay
 
 import (
 	"math"
@@ -23,8 +23,8 @@
 	return time.Duration(float64(p.value) * math.Exp2(-now.Sub(p.observedAt).Seconds()/peakHalfLife.Seconds()))
 }
 
-// With returns the peak updated with one more duration.
-func (p Peak) With(d time.Duration, now time.Time) Peak {
+// Add returns the peak updated with one more duration.
+func (p Peak) Add(d time.Duration, now time.Time) Peak {
 	if d <= p.Value(now) {
 		return p
 	}
--- a/internal/policy/evict/evict.go
+++ b/internal/policy/evict/evict.go
@@ -10,9 +10,9 @@
 type Candidate struct {
 	Name  string
 	Bytes int64
-	// WantedSoon is the probability, 0 to 1, that it is requested within the caller's horizon.
-	WantedSoon float64
-	ColdStart  time.Duration
+	// ReuseProbability is the probability, 0 to 1, that it is requested within the caller's horizon.
+	ReuseProbability float64
+	ColdStart        time.Duration
 	// LastUsed breaks ties, the least recently used first.
 	LastUsed time.Time
 }
@@ -20,7 +20,7 @@
 // CostPerGigabyte returns the expected cold-start seconds per gigabyte (2^30 bytes) freed by unloading the candidate.
 func CostPerGigabyte(c Candidate) float64 {
 	const gigabyte = 1 << 30
-	return c.WantedSoon * c.ColdStart.Seconds() / (float64(c.Bytes) / gigabyte)
+	return c.ReuseProbability * c.ColdStart.Seconds() / (float64(c.Bytes) / gigabyte)
 }
 
 // Choose returns the names of the cheapest candidates that together free the
--- a/internal/policy/evict/evict_test.go
+++ b/internal/policy/evict/evict_test.go
@@ -8,15 +8,15 @@
 	. "github.com/onsi/gomega"
 	"pgregory.net/rapid"
 
-	"foxtailcroft/test/draws"
+	"foxtailcroft/test/seeds"
 )
 
-func TestMain(m *testing.M) { draws.Main(m, 200) }
+func TestMain(m *testing.M) { seeds.RunTests(m, 200) }
 
 func TestChoose(t *testing.T) {
 	const gb = 1 << 30
 	item := func(name string, gigabytes int64, soon float64, cold time.Duration) Candidate {
-		return Candidate{Name: name, Bytes: gigabytes * gb, WantedSoon: soon, ColdStart: cold}
+		return Candidate{Name: name, Bytes: gigabytes * gb, ReuseProbability: soon, ColdStart: cold}
 	}
 	cases := []struct {
 		name       string
@@ -44,7 +44,7 @@
 		sizes := map[string]int64{}
 		var candidates []Candidate
 		for i := range rapid.IntRange(0, 8).Draw(t, "n") {
-			c := Candidate{Name: fmt.Sprint(i), Bytes: rapid.Int64Range(1, 50).Draw(t, "bytes"), WantedSoon: rapid.Float64Range(0, 1).Draw(t, "soon"), ColdStart: time.Second}
+			c := Candidate{Name: fmt.Sprint(i), Bytes: rapid.Int64Range(1, 50).Draw(t, "bytes"), ReuseProbability: rapid.Float64Range(0, 1).Draw(t, "soon"), ColdStart: time.Second}
 			sizes[c.Name] = c.Bytes
 			candidates = append(candidates, c)
 		}
--- a/internal/policy/fade/doc.go
+++ /dev/null
@@ -1,2 +0,0 @@
-// Package fade holds event counts and peak durations that decay exponentially with time.
-package fade
--- a/internal/policy/keep/crowd.go
+++ b/internal/policy/idle/crowd.go
@@ -1,22 +1,22 @@
-package keep
+package idle
 
 import "time"
 
 // burstSmoothing is the weight of a new burst in the moving average.
 const burstSmoothing = 0.05
 
-// Crowd is an exponentially weighted moving average of the total time that
+// BurstWait is an exponentially weighted moving average of the total time that
 // requests wait in one cold start. A burst at every router makes many requests
 // wait for the same load.
-type Crowd struct {
+type BurstWait struct {
 	startedAt   time.Time
 	currentWait time.Duration
 	meanWait    time.Duration
 }
 
-// Arrived records an arrival, whether or not the replica is loaded. idle is set
+// Arrival records an arrival, whether or not the replica is loaded. idle is set
 // if no request ran or waited before it, which starts a new burst.
-func (c *Crowd) Arrived(now time.Time, idle bool, loadTime time.Duration) {
+func (c *BurstWait) Arrival(now time.Time, idle bool, loadTime time.Duration) {
 	if idle {
 		c.recordBurst()
 		c.startedAt, c.currentWait = now, loadTime
@@ -28,7 +28,7 @@
 }
 
 // recordBurst adds the current burst to the average.
-func (c *Crowd) recordBurst() {
+func (c *BurstWait) recordBurst() {
 	switch {
 	case c.currentWait == 0:
 	case c.meanWait == 0:
@@ -39,6 +39,6 @@
 }
 
 // Wait returns the expected total waiting time in one cold start, at least one load time.
-func (c *Crowd) Wait(loadTime time.Duration) time.Duration {
+func (c *BurstWait) Wait(loadTime time.Duration) time.Duration {
 	return max(loadTime, c.meanWait)
 }
--- a/internal/policy/keep/decide.go
+++ b/internal/policy/idle/decide.go
@@ -1,4 +1,4 @@
-package keep
+package idle
 
 import "time"
 
@@ -6,14 +6,14 @@
 type Costs struct {
 	// ColdWait is the expected total waiting time of all requests in one cold start.
 	ColdWait time.Duration
-	// Price is the number of idle accelerator seconds that one second of waiting in a cold start is worth.
-	Price float64
-	// Max bounds the time that an idle replica stays loaded; Alive takes 0 as DefaultMax.
-	Max time.Duration
+	// ColdStartPrice is the number of idle accelerator seconds that one second of waiting in a cold start is worth.
+	ColdStartPrice float64
+	// MaxKeepAlive bounds the time that an idle replica stays loaded; Alive takes 0 as DefaultMax.
+	MaxKeepAlive time.Duration
 }
 
-// DefaultMax bounds the keep-alive time if the policy sets no bound.
-const DefaultMax = 4 * time.Hour
+// DefaultMaxKeepAlive bounds the keep-alive time if the policy sets no bound.
+const DefaultMaxKeepAlive = 4 * time.Hour
 
 // minGapsSeen is the number of observed gaps below which Alive uses BreakEven instead of the histogram.
 const minGapsSeen = 6
@@ -22,14 +22,14 @@
 // bounded by Max. Without that bound it costs at most twice the best choice for
 // any gap.
 func BreakEven(c Costs) time.Duration {
-	return min(c.Max, time.Duration(c.Price*float64(c.ColdWait)))
+	return min(c.MaxKeepAlive, time.Duration(c.ColdStartPrice*float64(c.ColdWait)))
 }
 
-// Alive returns the time to keep an idle replica loaded at close to the least
+// KeepAlive returns the time to keep an idle replica loaded at close to the least
 // expected cost under the observed gaps.
-func Alive(g *Gaps, c Costs) time.Duration {
-	if c.Max == 0 {
-		c.Max = DefaultMax
+func KeepAlive(g *Gaps, c Costs) time.Duration {
+	if c.MaxKeepAlive == 0 {
+		c.MaxKeepAlive = DefaultMaxKeepAlive
 	}
 	if g == nil || g.seen < minGapsSeen {
 		return BreakEven(c)
@@ -49,11 +49,11 @@
 }
 
 func newCostTable(g *Gaps, c Costs) *costTable {
-	t := &costTable{coldSeconds: c.Price * c.ColdWait.Seconds()}
+	t := &costTable{coldSeconds: c.ColdStartPrice * c.ColdWait.Seconds()}
 	for i, n := range g.weights {
 		t.weightBefore[i+1] = t.weightBefore[i] + n
 		t.idleSecondsBefore[i+1] = t.idleSecondsBefore[i] + n*midpoint(i).Seconds()
-		if lowerEdge(i) <= c.Max {
+		if lowerEdge(i) <= c.MaxKeepAlive {
 			t.maxBuckets = i
 		}
 	}
--- /dev/null
+++ b/internal/policy/idle/doc.go
@@ -0,0 +1,2 @@
+// Package idle decides how long an idle replica stays loaded.
+package idle
--- a/internal/policy/keep/gaps.go
+++ b/internal/policy/idle/gaps.go
@@ -1,4 +1,4 @@
-package keep
+package idle
 
 import (
 	"math"
--- a/internal/policy/keep/keep_test.go
+++ b/internal/policy/idle/keep_test.go
@@ -1,4 +1,4 @@
-package keep
+package idle
 
 import (
 	"testing"
@@ -7,10 +7,10 @@
 	. "github.com/onsi/gomega"
 	"pgregory.net/rapid"
 
-	"foxtailcroft/test/draws"
+	"foxtailcroft/test/seeds"
 )
 
-func TestMain(m *testing.M) { draws.Main(m, 200) }
+func TestMain(m *testing.M) { seeds.RunTests(m, 200) }
 
 func TestAlive(t *testing.T) {
 	cases := []struct {
@@ -29,7 +29,7 @@
 			for _, gap := range c.gaps {
 				g.Observe(gap)
 			}
-			d := Alive(&g, Costs{ColdWait: 20 * time.Second, Price: 10, Max: 2 * time.Hour})
+			d := KeepAlive(&g, Costs{ColdWait: 20 * time.Second, ColdStartPrice: 10, MaxKeepAlive: 2 * time.Hour})
 			NewWithT(t).Expect(c.want(d)).To(BeTrue(), "kept loaded for %s", d)
 		})
 	}
@@ -49,7 +49,7 @@
 		coldSeconds := rapid.Float64Range(1, 100).Draw(t, "cold")
 		price := rapid.Float64Range(0.1, 500).Draw(t, "price")
 		gapSeconds := rapid.Float64Range(0, 100_000).Draw(t, "gap")
-		keepSeconds := BreakEven(Costs{ColdWait: time.Duration(coldSeconds * float64(time.Second)), Price: price, Max: 1 << 62}).Seconds()
+		keepSeconds := BreakEven(Costs{ColdWait: time.Duration(coldSeconds * float64(time.Second)), ColdStartPrice: price, MaxKeepAlive: 1 << 62}).Seconds()
 		cost := gapSeconds
 		if gapSeconds > keepSeconds {
 			cost = keepSeconds + price*coldSeconds
--- a/internal/policy/keep/doc.go
+++ /dev/null
@@ -1,2 +0,0 @@
-// Package keep decides how long an idle replica stays loaded.
-package keep
--- a/internal/policy/pace/pace.go
+++ b/internal/policy/loads/pace.go
@@ -1,4 +1,4 @@
-package pace
+package loads
 
 import "time"
 
@@ -15,31 +15,31 @@
 	loadsBeforeProbe = 8
 )
 
-// Loads estimates the concurrency that a weight store serves at full speed; the zero value has no observations.
-type Loads struct {
+// Concurrency estimates the concurrency that a weight store serves at full speed; the zero value has no observations.
+type Concurrency struct {
 	concurrency int
 	// fullSpeedLoads counts the full-speed loads since the last slowed one,
 	// starting at -loadsBeforeProbe; above 0 the estimate may rise.
 	fullSpeedLoads int
 }
 
-// Known returns an estimate made by another process, 0 if it has none.
-func Known(concurrency int) Loads {
-	return Loads{concurrency: max(0, min(maxConcurrency, concurrency))}
+// FromEstimate returns an estimate made by another process, 0 if it has none.
+func FromEstimate(concurrency int) Concurrency {
+	return Concurrency{concurrency: max(0, min(maxConcurrency, concurrency))}
 }
 
-// AtOnce returns the estimated number of concurrent loads that run at full speed.
-func (l Loads) AtOnce() int {
+// Limit returns the estimated number of concurrent loads that run at full speed.
+func (l Concurrency) Limit() int {
 	if l.concurrency == 0 {
 		return defaultConcurrency
 	}
 	return l.concurrency
 }
 
-// Ended returns the estimate updated with a load that has ended. concurrent is
+// Observe returns the estimate updated with a load that has ended. concurrent is
 // the largest number of loads that ran at once, itself included, and
 // fullSpeedTime the duration it would have alone.
-func (l Loads) Ended(concurrent int, took, fullSpeedTime time.Duration) Loads {
+func (l Concurrency) Observe(concurrent int, took, fullSpeedTime time.Duration) Concurrency {
 	if fullSpeedTime <= 0 || concurrent < 1 {
 		return l
 	}
@@ -47,8 +47,8 @@
 	switch {
 	case slowdown > slowdownThreshold:
 		// Beyond the store's capacity the duration grows in proportion to the number of concurrent loads.
-		l.concurrency, l.fullSpeedLoads = max(1, min(l.AtOnce(), int(float64(concurrent)/slowdown+roundingOffset))), -loadsBeforeProbe
-	case concurrent >= l.AtOnce():
+		l.concurrency, l.fullSpeedLoads = max(1, min(l.Limit(), int(float64(concurrent)/slowdown+roundingOffset))), -loadsBeforeProbe
+	case concurrent >= l.Limit():
 		l.fullSpeedLoads++
 		if l.fullSpeedLoads > 0 {
 			l.concurrency = min(maxConcurrency, concurrent+1)
--- a/internal/policy/pace/pace_test.go
+++ b/internal/policy/loads/pace_test.go
@@ -1,4 +1,4 @@
-package pace
+package loads
 
 import (
 	"testing"
@@ -12,18 +12,18 @@
 	const fullSpeedTime = 6 * time.Second
 	for _, capacity := range []int{1, 2, 4, 8} {
 		g := NewWithT(t)
-		var l Loads
+		var l Concurrency
 		slowLoads, loads := 0, 0
 		for range 40 {
-			concurrent := l.AtOnce()
+			concurrent := l.Limit()
 			took := time.Duration(float64(fullSpeedTime) * max(1, float64(concurrent)/float64(capacity)))
-			l = l.Ended(concurrent, took, fullSpeedTime)
+			l = l.Observe(concurrent, took, fullSpeedTime)
 			loads++
 			if took > fullSpeedTime {
 				slowLoads++
 			}
 		}
-		g.Expect(l.AtOnce()).To(BeNumerically("~", capacity, 1))
+		g.Expect(l.Limit()).To(BeNumerically("~", capacity, 1))
 		g.Expect(float64(slowLoads)/float64(loads)).To(BeNumerically("<=", 0.2), "share of slowed loads at a store that serves %d at full speed", capacity)
 	}
 }
--- a/internal/policy/pick/bench_test.go
+++ b/internal/policy/pick/bench_test.go
@@ -57,7 +57,7 @@
 	views := make([][]Replica, simEntries)
 	for e := range views {
 		for r := range simReplicas {
-			views[e] = append(views[e], Replica{Endpoint: fmt.Sprint(r), Loaded: true, Local: true, Capacity: simCapacity, Service: simServiceTime})
+			views[e] = append(views[e], Replica{Endpoint: fmt.Sprint(r), Loaded: true, SameDomain: true, Capacity: simCapacity, ServiceTime: simServiceTime})
 		}
 	}
 	slotFreeAt := make([][]time.Duration, simReplicas)
@@ -75,11 +75,11 @@
 			done := heap.Pop(&pending).(completion)
 			busy[done.replica]--
 			view := &views[done.entry][done.replica]
-			view.Running, view.Queued, view.Sent = min(busy[done.replica], simCapacity), max(0, busy[done.replica]-simCapacity), 0
+			view.Running, view.Queued, view.SentSinceReport = min(busy[done.replica], simCapacity), max(0, busy[done.replica]-simCapacity), 0
 		}
 		e := rnd.IntN(simEntries)
 		r := choose(views[e], rnd)
-		views[e][r].Sent++
+		views[e][r].SentSinceReport++
 		busy[r]++
 		slot := slices.Index(slotFreeAt[r], slices.Min(slotFreeAt[r]))
 		startAt := max(now, slotFreeAt[r][slot])
--- a/internal/policy/pick/pick.go
+++ b/internal/policy/pick/pick.go
@@ -13,18 +13,18 @@
 	Endpoint string
 	// Loaded is false if the slot would need a cold start.
 	Loaded bool
-	// Local is set if the endpoint is in the entry's own failure domain.
-	Local bool
+	// SameDomain is set if the endpoint is in the entry's own failure domain.
+	SameDomain bool
 	// Running, Queued and Capacity are from the last report.
 	Running  int
 	Queued   int
 	Capacity int
-	// Sent counts the entry's own requests since that report that have not ended.
-	Sent int
-	// Service is the observed time to serve a request, 0 if not known.
-	Service time.Duration
-	// Cold is the expected time until the slot is loaded, if Loaded is false.
-	Cold time.Duration
+	// SentSinceReport counts the entry's own requests since that report that have not ended.
+	SentSinceReport int
+	// ServiceTime is the observed time to serve a request, 0 if not known.
+	ServiceTime time.Duration
+	// ColdStart is the expected time until the slot is loaded, if Loaded is false.
+	ColdStart time.Duration
 }
 
 // defaultServiceTime is the assumed time to serve a request while none was observed.
@@ -33,32 +33,32 @@
 // remotePenalty is the time that a replica in another failure domain must save to be preferred.
 const remotePenalty = 5 * time.Millisecond
 
-// Forecast returns the expected time until the replica would start one more request, 0 if it has capacity.
-func Forecast(r Replica) time.Duration {
-	service := r.Service
+// ForecastWait returns the expected time until the replica would start one more request, 0 if it has capacity.
+func ForecastWait(r Replica) time.Duration {
+	service := r.ServiceTime
 	if service == 0 {
 		service = defaultServiceTime
 	}
 	capacity := max(1, r.Capacity)
-	ahead := max(r.Running+r.Queued, 0) + r.Sent
+	ahead := max(r.Running+r.Queued, 0) + r.SentSinceReport
 	var wait time.Duration
 	if excess := ahead + 1 - capacity; excess > 0 {
 		wait = service * time.Duration(excess) / time.Duration(capacity)
 	}
 	if !r.Loaded {
-		wait += r.Cold
+		wait += r.ColdStart
 	}
 	return wait
 }
 
 // score returns the forecast in nanoseconds plus penalties; lower is better.
 func score(r Replica) float64 {
-	s := float64(Forecast(r))
-	if !r.Local {
+	s := float64(ForecastWait(r))
+	if !r.SameDomain {
 		s += float64(remotePenalty)
 	}
 	// Equal forecasts go to the less busy replica.
-	return s + float64(r.Running+r.Queued+r.Sent)/float64(max(1, r.Capacity))*float64(time.Millisecond)
+	return s + float64(r.Running+r.Queued+r.SentSinceReport)/float64(max(1, r.Capacity))*float64(time.Millisecond)
 }
 
 // maxLoadRatio is the ratio to the mean load up to which a replica is preferred for the prefixes that hash to it.
@@ -118,17 +118,17 @@
 		total += requestCount(replicas[j])
 	}
 	mean := float64(total+1) / float64(len(loaded))
-	return float64(requestCount(replicas[i])+1) <= math.Ceil(maxLoadRatio*mean) && Forecast(replicas[i]) == 0
+	return float64(requestCount(replicas[i])+1) <= math.Ceil(maxLoadRatio*mean) && ForecastWait(replicas[i]) == 0
 }
 
 // requestCount returns the number of requests known at a replica.
 func requestCount(r Replica) int {
-	return r.Running + r.Queued + r.Sent
+	return r.Running + r.Queued + r.SentSinceReport
 }
 
-// Widen reports whether a slot's agent should forward a request to the next
+// ShouldForward reports whether a slot's agent should forward a request to the next
 // slot, because its own queue is forecast to take longer than that slot's cold start.
-func Widen(queued, capacity int, service, nextCold time.Duration) bool {
+func ShouldForward(queued, capacity int, service, nextCold time.Duration) bool {
 	if service == 0 {
 		service = defaultServiceTime
 	}
@@ -142,7 +142,7 @@
 // would miss their deadline after using up capacity.
 const headroomDivisor = 8
 
-// InTime reports whether an answer is expected before the deadline with headroom.
-func InTime(wait, service, remaining time.Duration) bool {
+// MeetsDeadline reports whether an answer is expected before the deadline with headroom.
+func MeetsDeadline(wait, service, remaining time.Duration) bool {
 	return wait+service <= remaining-remaining/headroomDivisor
 }
--- a/internal/policy/pick/pick_test.go
+++ b/internal/policy/pick/pick_test.go
@@ -9,11 +9,11 @@
 )
 
 func loaded(name string, running int) Replica {
-	return Replica{Endpoint: name, Loaded: true, Running: running, Capacity: 4, Service: time.Second}
+	return Replica{Endpoint: name, Loaded: true, Running: running, Capacity: 4, ServiceTime: time.Second}
 }
 
 func TestChoose(t *testing.T) {
-	dormant := Replica{Endpoint: "dormant", Capacity: 4, Cold: 10 * time.Second}
+	dormant := Replica{Endpoint: "dormant", Capacity: 4, ColdStart: 10 * time.Second}
 	cases := []struct {
 		name     string
 		replicas []Replica
@@ -23,7 +23,7 @@
 		{"no loaded replica: the first slot", []Replica{dormant, {Endpoint: "other"}}, 0, "dormant"},
 		{"prefers a loaded replica to a dormant first slot", []Replica{dormant, loaded("a", 3)}, 0, "a"},
 		{"prefers the less busy of two replicas", []Replica{loaded("a", 4), loaded("b", 1)}, 0, "b"},
-		{"counts the entry's own requests since the report", []Replica{{Endpoint: "a", Loaded: true, Sent: 9, Capacity: 4}, loaded("b", 4)}, 0, "b"},
+		{"counts the entry's own requests since the report", []Replica{{Endpoint: "a", Loaded: true, SentSinceReport: 9, Capacity: 4}, loaded("b", 4)}, 0, "b"},
 		{"skips an overloaded first replica whichever the prefix hashes to", []Replica{loaded("a", 9), loaded("b", 0)}, 1, "b"},
 		{"skips an overloaded second replica whichever the prefix hashes to", []Replica{loaded("a", 0), loaded("b", 9)}, 1, "a"},
 	}
@@ -64,7 +64,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			NewWithT(t).Expect(Widen(c.queued, 4, time.Second, c.cold)).To(Equal(c.want))
+			NewWithT(t).Expect(ShouldForward(c.queued, 4, time.Second, c.cold)).To(Equal(c.want))
 		})
 	}
 }
--- a/internal/policy/place/place.go
+++ b/internal/policy/place/place.go
@@ -12,21 +12,21 @@
 	Name        string
 	Domain      string
 	MemoryBytes int64
-	// Promised is the memory in bytes reserved by the slots already placed here.
-	Promised int64
-	// Near is 2 if the checkpoint is in the endpoint's memory, 1 if on its disk, 0 if remote.
-	Near int
+	// ReservedBytes is the memory in bytes reserved by the slots already placed here.
+	ReservedBytes int64
+	// CheckpointTier is 2 if the checkpoint is in the endpoint's memory, 1 if on its disk, 0 if remote.
+	CheckpointTier int
 }
 
-// Need describes the slot to place.
-type Need struct {
+// Request describes the slot to place.
+type Request struct {
 	Model string
 	Bytes int64
-	// Domains lists the allowed failure domains; empty allows all.
-	Domains []string
-	// Taken lists the failure domains of the model's other slots, and Used their endpoints.
-	Taken []string
-	Used  []string
+	// AllowedDomains lists the allowed failure domains; empty allows all.
+	AllowedDomains []string
+	// UsedDomains lists the failure domains of the model's other slots, and Used their endpoints.
+	UsedDomains   []string
+	UsedEndpoints []string
 }
 
 // localityGain is the share of an endpoint's memory that each level of Near offsets in the load score.
@@ -36,7 +36,7 @@
 // prefers the failure domain with the fewest slots of the model, then the lowest
 // load score, and breaks ties by a hash of both names, so that added or removed
 // endpoints move few slots.
-func Choose(need Need, endpoints []Endpoint) (Endpoint, bool) {
+func Choose(need Request, endpoints []Endpoint) (Endpoint, bool) {
 	var fitting []Endpoint
 	for _, e := range endpoints {
 		if fits(need, e) {
@@ -48,7 +48,7 @@
 	}
 	return slices.MinFunc(fitting, func(a, b Endpoint) int {
 		return cmp.Or(
-			cmp.Compare(count(need.Taken, a.Domain), count(need.Taken, b.Domain)),
+			cmp.Compare(count(need.UsedDomains, a.Domain), count(need.UsedDomains, b.Domain)),
 			cmp.Compare(loadScore(a), loadScore(b)),
 			cmp.Compare(tieHash(need.Model, a.Name), tieHash(need.Model, b.Name)),
 		)
@@ -57,14 +57,14 @@
 
 // fits reports whether an endpoint may hold the slot. Memory reserved by other
 // slots doesn't rule an endpoint out; it only raises its load score.
-func fits(need Need, e Endpoint) bool {
-	allowed := len(need.Domains) == 0 || slices.Contains(need.Domains, e.Domain)
-	return allowed && e.MemoryBytes >= need.Bytes && !slices.Contains(need.Used, e.Name)
+func fits(need Request, e Endpoint) bool {
+	allowed := len(need.AllowedDomains) == 0 || slices.Contains(need.AllowedDomains, e.Domain)
+	return allowed && e.MemoryBytes >= need.Bytes && !slices.Contains(need.UsedEndpoints, e.Name)
 }
 
 // loadScore returns the reserved share of an endpoint's memory, lowered for a checkpoint in memory or on disk.
 func loadScore(e Endpoint) float64 {
-	return float64(e.Promised)/float64(e.MemoryBytes) - localityGain*float64(e.Near)
+	return float64(e.ReservedBytes)/float64(e.MemoryBytes) - localityGain*float64(e.CheckpointTier)
 }
 
 func count(list []string, s string) int {
--- a/internal/policy/retry/budget.go
+++ b/internal/policy/retry/budget.go
@@ -43,8 +43,8 @@
 	marginDivisor = 20
 )
 
-// Margin returns how long before the caller's deadline a request must have its
+// DeadlineMargin returns how long before the caller's deadline a request must have its
 // final outcome, so that the answer reaches the caller in time.
-func Margin(timeout time.Duration) time.Duration {
+func DeadlineMargin(timeout time.Duration) time.Duration {
 	return min(maxMargin, max(minMargin, timeout/marginDivisor))
 }
--- a/internal/policy/retry/main_test.go
+++ b/internal/policy/retry/main_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"foxtailcroft/test/draws"
+	"foxtailcroft/test/seeds"
 )
 
-func TestMain(m *testing.M) { draws.Main(m, 200) }
+func TestMain(m *testing.M) { seeds.RunTests(m, 200) }
--- a/internal/policy/retry/share_test.go
+++ b/internal/policy/retry/share_test.go
@@ -14,9 +14,9 @@
 		g := NewWithT(rt)
 		const ratio, slack = 0.2, 58.0
 		processes := rapid.IntRange(1, 30).Draw(rt, "processes")
-		shares := make([]Share, processes)
+		shares := make([]BudgetShare, processes)
 		for i := range shares {
-			shares[i] = NewShare(ratio, slack, processes)
+			shares[i] = NewBudgetShare(ratio, slack, processes)
 		}
 		first, second := 0, 0
 		for _, send := range rapid.SliceOfN(rapid.IntRange(0, 3*processes-1), 0, 600).Draw(rt, "sends") {
--- a/internal/policy/choose/choose.go
+++ b/internal/policy/score/choose.go
@@ -1,31 +1,31 @@
-package choose
+package score
 
 import "time"
 
 // Candidate is one instance that could serve a request.
 type Candidate struct {
 	ID string
-	// Near is set if the instance is in the entry's own failure domain.
-	Near bool
+	// SameDomain is set if the instance is in the entry's own failure domain.
+	SameDomain bool
 	// Connected is set if the entry has an open connection to the instance.
 	Connected bool
 	Slots     int
 	// InFlight counts the entry's own requests there, and Reported all requests in the instance's last report.
 	InFlight int
 	Reported int
-	// Reading is the prefill time of the entry's requests there that have no answer yet.
-	Reading time.Duration
-	// Missing is the prefill time of the part of this request's prompt that the instance has not cached.
-	Missing time.Duration
-	// LongRead is the uninterrupted prefill time above which other streams on
+	// PendingPrefill is the prefill time of the entry's requests there that have no answer yet.
+	PendingPrefill time.Duration
+	// MissingPrefill is the prefill time of the part of this request's prompt that the instance has not cached.
+	MissingPrefill time.Duration
+	// LongPrefill is the uninterrupted prefill time above which other streams on
 	// the instance may pause for too long, 0 if streams may pause.
-	LongRead time.Duration
+	LongPrefill time.Duration
 	// PauseRisk is the probability that a long prefill makes a stream there pause for too long, 0 if not known.
 	PauseRisk float64
-	// Failing is the recent share of failed requests, from 0 to 1.
-	Failing float64
-	// Answers is the usual time to the start of an answer, 0 if not known.
-	Answers time.Duration
+	// FailureShare is the recent share of failed requests, from 0 to 1.
+	FailureShare float64
+	// TimeToAnswer is the usual time to the start of an answer, 0 if not known.
+	TimeToAnswer time.Duration
 }
 
 const (
@@ -52,30 +52,30 @@
 	failureCostMs = 4000.0
 )
 
-// Cost returns the expected time to serve the request on this instance in
+// CostMs returns the expected time to serve the request on this instance in
 // milliseconds, with penalties for load, failures and pauses.
-func (c Candidate) Cost() float64 {
+func (c Candidate) CostMs() float64 {
 	running := max(c.InFlight, c.Reported)
-	cost := float64((c.Missing + c.Reading).Milliseconds()) + concurrentCostMs*float64(running) + failureCostMs*c.Failing
+	cost := float64((c.MissingPrefill + c.PendingPrefill).Milliseconds()) + concurrentCostMs*float64(running) + failureCostMs*c.FailureShare
 	if c.Slots > 0 && running >= c.Slots {
 		cost += queuedCostMs * float64(running-c.Slots+1)
 	}
-	if c.LongRead > 0 {
+	if c.LongPrefill > 0 {
 		cost += lateCostMs * c.expectedPauses(running)
 	}
-	if !c.Near {
+	if !c.SameDomain {
 		cost += crossDomainCostMs
 	}
 	if !c.Connected {
 		cost += connectCostMs
 	}
-	return cost + float64(c.Answers.Milliseconds())/2
+	return cost + float64(c.TimeToAnswer.Milliseconds())/2
 }
 
 // expectedPauses returns the expected number of streams that pause for too long
 // if the request goes there, among the running ones and its own.
 func (c Candidate) expectedPauses(running int) float64 {
-	if c.Missing+c.Reading > c.LongRead {
+	if c.MissingPrefill+c.PendingPrefill > c.LongPrefill {
 		return max(defaultPauseRisk, c.PauseRisk, c.lengthRisk()) * float64(1+running)
 	}
 	return overlapProbability * c.PauseRisk
@@ -84,12 +84,12 @@
 // lengthRisk returns the probability that the prompt alone makes streams pause:
 // each prefill step takes longer the more of the prompt was read before it.
 func (c Candidate) lengthRisk() float64 {
-	return min(maxLengthRisk, max(0, float64(c.Missing)/float64(c.LongRead)-longPromptRatio))
+	return min(maxLengthRisk, max(0, float64(c.MissingPrefill)/float64(c.LongPrefill)-longPromptRatio))
 }
 
-// Risk returns the probability of a pause longer than allowed at a server with
+// PauseRisk returns the probability of a pause longer than allowed at a server with
 // the given longest pause. It is 0 if any pause is allowed.
-func Risk(longest, allowed time.Duration) float64 {
+func PauseRisk(longest, allowed time.Duration) float64 {
 	if allowed <= 0 {
 		return 0
 	}
@@ -100,10 +100,10 @@
 // counts as a risk. The risk rises linearly to 1 at the allowed pause.
 const riskFromShare = 0.9
 
-// LongRead returns the uninterrupted prefill time that a server may take if
+// LongPrefill returns the uninterrupted prefill time that a server may take if
 // streams may pause for the given time. A stream's event waits for several
 // steps, each of which reads a chunk of the prompt.
-func LongRead(pause time.Duration) time.Duration {
+func LongPrefill(pause time.Duration) time.Duration {
 	return time.Duration(float64(pause) * prefillPauseShare)
 }
 
@@ -115,7 +115,7 @@
 func Best(candidates []Candidate, random func() float64) int {
 	best, leastCost := -1, 0.0
 	for i, c := range candidates {
-		cost := c.Cost() + random()*concurrentCostMs
+		cost := c.CostMs() + random()*concurrentCostMs
 		if best < 0 || cost < leastCost {
 			best, leastCost = i, cost
 		}
--- a/internal/policy/speed/speed.go
+++ b/internal/policy/speed/speed.go
@@ -15,29 +15,29 @@
 	minStep = 0.03
 )
 
-// Reading is a running median of the prefill speed in tokens per millisecond;
+// Prefill is a running median of the prefill speed in tokens per millisecond;
 // the zero value has no observations.
-type Reading struct {
+type Prefill struct {
 	// logRatio is the natural logarithm of the ratio of the estimate to defaultTokensPerMs.
 	logRatio float64
 	samples  int
 }
 
-// Time returns the estimated prefill time of a number of prompt tokens.
-func (r Reading) Time(tokens int) time.Duration {
+// Duration returns the estimated prefill time of a number of prompt tokens.
+func (r Prefill) Duration(tokens int) time.Duration {
 	return time.Duration(float64(tokens) / (defaultTokensPerMs * math.Exp(r.logRatio)) * float64(time.Millisecond))
 }
 
-// With returns the estimate updated with the time to first token of a prompt of
+// Add returns the estimate updated with the time to first token of a prompt of
 // the given length. It ignores prompts shorter than minTokens and times that are
 // not positive.
-func (r Reading) With(tokens int, took time.Duration) Reading {
+func (r Prefill) Add(tokens int, took time.Duration) Prefill {
 	if tokens < minTokens || took <= 0 {
 		return r
 	}
 	step := max(minStep, maxStep/float64(1+r.samples))
-	if took > r.Time(tokens) {
+	if took > r.Duration(tokens) {
 		step = -step
 	}
-	return Reading{logRatio: r.logRatio + step, samples: r.samples + 1}
+	return Prefill{logRatio: r.logRatio + step, samples: r.samples + 1}
 }
--- a/internal/policy/speed/speed_test.go
+++ b/internal/policy/speed/speed_test.go
@@ -22,7 +22,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
 			rnd := rand.New(rand.NewPCG(5, 5))
-			var r Reading
+			var r Prefill
 			for range 60 {
 				tokens := 2000 + rnd.IntN(12000)
 				took := float64(tokens) / c.tokensPerMs * (0.95 + 0.1*rnd.Float64())
@@ -32,9 +32,9 @@
 				case x < 0.45:
 					took *= 1 + rnd.Float64()
 				}
-				r = r.With(tokens, time.Duration(took*float64(time.Millisecond)))
+				r = r.Add(tokens, time.Duration(took*float64(time.Millisecond)))
 			}
-			got := 10000 / float64(r.Time(10000).Milliseconds())
+			got := 10000 / float64(r.Duration(10000).Milliseconds())
 			g.Expect(got).To(BeNumerically("~", c.tokensPerMs, 0.15*c.tokensPerMs))
 		})
 	}
@@ -42,6 +42,6 @@
 
 func TestIgnoresShortPromptsAndZeroTimes(t *testing.T) {
 	g := NewWithT(t)
-	g.Expect(Reading{}.With(100, time.Second)).To(Equal(Reading{}))
-	g.Expect(Reading{}.With(5000, 0)).To(Equal(Reading{}))
+	g.Expect(Prefill{}.Add(100, time.Second)).To(Equal(Prefill{}))
+	g.Expect(Prefill{}.Add(5000, 0)).To(Equal(Prefill{}))
 }
--- a/internal/policy/swap/bench_test.go
+++ b/internal/policy/swap/bench_test.go
@@ -24,14 +24,14 @@
 
 func randomInput(servers, models int) Input {
 	rnd := rand.New(rand.NewPCG(1, 2))
-	e := &site.Engine{Slots: 64, WeightsMB: 220000, AdapterPlaces: 8, LoadsPerSecond: 9}
+	e := &site.Engine{ConcurrentRequests: 64, WeightsMB: 220000, MaxLoadedAdapters: 8, StoreLoadsPerSecond: 9}
 	for i := range models {
-		e.Models = append(e.Models, site.Model{Name: fmt.Sprintf("m%d", i), SizeMB: 72700, Adapters: 20, AdapterMB: 66, FromStore: 13 * time.Second, FromDisk: 840 * time.Millisecond, FromMemory: 400 * time.Millisecond})
+		e.Models = append(e.Models, site.Model{Name: fmt.Sprintf("m%d", i), SizeMB: 72700, AdapterCount: 20, AdapterMB: 66, StoreLoadTime: 13 * time.Second, DiskLoadTime: 840 * time.Millisecond, MemoryLoadTime: 400 * time.Millisecond})
 	}
-	in := Input{Engine: e, StoreLoads: 1, AtOnce: 1, Demand: map[string]Demand{}}
+	in := Input{Engine: e, StoreLoadsLeft: 1, StoreConcurrency: 1, Demand: map[string]Demand{}}
 	name := func() string { return e.Models[rnd.IntN(models)].Name }
 	for i := range servers {
-		s := Server{ID: fmt.Sprintf("s%d", i), Engaged: rnd.IntN(5) == 0}
+		s := Server{ID: fmt.Sprintf("s%d", i), Busy: rnd.IntN(5) == 0}
 		for range 3 {
 			s.Copies = append(s.Copies, Copy{Model: name(), Age: time.Minute, InFlight: rnd.IntN(4)})
 		}
@@ -42,7 +42,7 @@
 	}
 	for range models / 10 {
 		in.Wants = append(in.Wants, Want{Model: name(), Weight: 1})
-		in.Demand[name()] = Demand{Rate: 20 * rnd.Float64(), Each: 150 * time.Millisecond, Adapters: rnd.IntN(10)}
+		in.Demand[name()] = Demand{Rate: 20 * rnd.Float64(), PrefillTime: 150 * time.Millisecond, ActiveAdapters: rnd.IntN(10)}
 	}
 	return in
 }
--- a/internal/policy/swap/cost.go
+++ b/internal/policy/swap/cost.go
@@ -35,7 +35,7 @@
 // queueWaitSeconds returns the total waiting time over costHorizon of a model's
 // requests when they are spread over a number of copies.
 func (d *decision) queueWaitSeconds(demand Demand, copies float64) float64 {
-	prefillSeconds := demand.Each.Seconds()
+	prefillSeconds := demand.PrefillTime.Seconds()
 	if prefillSeconds == 0 {
 		prefillSeconds = defaultPrefillTime.Seconds()
 	}
@@ -44,8 +44,8 @@
 	servedUtilization := min(utilization, maxUtilization)
 	unservedShare := max(0, 1-1/max(utilization, 1))
 	waitSeconds := (1-unservedShare)*min(unservedWaitSeconds, prefillSeconds*servedUtilization/(1-servedUtilization)) + unservedShare*unservedWaitSeconds
-	if demand.Adapters > 0 {
-		waitSeconds += adapterMissSeconds * max(0, 1-copies*float64(d.Engine.AdapterPlaces)/float64(demand.Adapters))
+	if demand.ActiveAdapters > 0 {
+		waitSeconds += adapterMissSeconds * max(0, 1-copies*float64(d.Engine.MaxLoadedAdapters)/float64(demand.ActiveAdapters))
 	}
 	return demand.Rate * costHorizon.Seconds() * waitSeconds
 }
@@ -59,7 +59,7 @@
 // weights, the server already holds the model, or there is no room.
 func (d *decision) loadAt(s *Server, model *site.Model, w Want, slowest Source) (Action, float64, bool) {
 	source, readyIn := d.weightSource(s, model)
-	if source < slowest || source == FromStore && d.StoreLoads <= 0 || s.holds(model.Name) {
+	if source < slowest || source == FromStore && d.StoreLoadsLeft <= 0 || s.holds(model.Name) {
 		return Action{}, 0, false
 	}
 	evict, lossSeconds, unloadWait, ok := d.chooseEvictions(s, model)
@@ -70,8 +70,8 @@
 	if source == FromStore {
 		lossSeconds += unservedWaitSeconds * d.blockedRate(s) * readyIn.Seconds()
 	}
-	lossSeconds += pausePenaltySeconds * s.Slow * d.Demand[model.Name].Rate * costHorizon.Seconds()
-	return Action{Server: s.ID, Evict: evict, Load: model.Name, Source: source, Takes: readyIn}, max(1, w.Weight)*readyIn.Seconds() + lossSeconds, true
+	lossSeconds += pausePenaltySeconds * s.PauseRisk * d.Demand[model.Name].Rate * costHorizon.Seconds()
+	return Action{Server: s.ID, Evict: evict, Load: model.Name, Source: source, ReadyIn: readyIn}, max(1, w.Weight)*readyIn.Seconds() + lossSeconds, true
 }
 
 // blockedRate returns the requests per second that wait while a server is
@@ -83,7 +83,7 @@
 	}
 	rate := 0.0
 	for _, c := range s.Copies {
-		if demand := d.Demand[c.Model]; demand.Adapters > 0 {
+		if demand := d.Demand[c.Model]; demand.ActiveAdapters > 0 {
 			m := d.summary(c.Model)
 			rate += adapterMissShare * demand.Rate / max(1, m.servingCopies+m.pendingCopies)
 		}
@@ -107,13 +107,13 @@
 // when more than AtOnce run.
 func (d *decision) weightSource(s *Server, model *site.Model) (Source, time.Duration) {
 	switch {
-	case slices.Contains(s.InMemory, model.Name) && model.FromMemory > 0:
-		return FromMemory, model.FromMemory
-	case slices.Contains(s.OnDisk, model.Name) && model.FromDisk > 0:
-		return FromDisk, model.FromDisk
+	case slices.Contains(s.InMemory, model.Name) && model.MemoryLoadTime > 0:
+		return FromMemory, model.MemoryLoadTime
+	case slices.Contains(s.OnDisk, model.Name) && model.DiskLoadTime > 0:
+		return FromDisk, model.DiskLoadTime
 	}
-	slowdown := max(1, float64(d.Loading+1)/float64(max(1, d.AtOnce)))
-	return FromStore, time.Duration(float64(model.FromStore) * slowdown)
+	slowdown := max(1, float64(d.StoreLoadsRunning+1)/float64(max(1, d.StoreConcurrency)))
+	return FromStore, time.Duration(float64(model.StoreLoadTime) * slowdown)
 }
 
 // chooseEvictions returns the models to evict, cheapest first, until the new one
@@ -121,7 +121,7 @@
 // unloaded. ok is false if the model doesn't fit.
 func (d *decision) chooseEvictions(s *Server, model *site.Model) (evict []string, cost float64, wait time.Duration, ok bool) {
 	free := d.freeMB(s) - d.adapterReserveMB(s, model)
-	if free >= model.SizeMB || d.Keep {
+	if free >= model.SizeMB || d.Conservative {
 		return nil, 0, 0, free >= model.SizeMB
 	}
 	type costedCopy struct {
@@ -180,13 +180,13 @@
 // adapterReserveMB returns the memory to keep free for adapters if a server
 // holds its models and the given one.
 func (d *decision) adapterReserveMB(s *Server, model *site.Model) float64 {
-	largest := model.AdapterMB * float64(min(1, model.Adapters))
+	largest := model.AdapterMB * float64(min(1, model.AdapterCount))
 	for _, c := range s.Copies {
-		if m := d.catalogue[c.Model]; m != nil && m.Adapters > 0 {
+		if m := d.catalogue[c.Model]; m != nil && m.AdapterCount > 0 {
 			largest = max(largest, m.AdapterMB)
 		}
 	}
-	return largest * float64(d.Engine.AdapterPlaces)
+	return largest * float64(d.Engine.MaxLoadedAdapters)
 }
 
 // sizeMB returns the memory of a model; an unknown model counts as filling the server.
@@ -215,9 +215,9 @@
 		return drainSeconds
 	}
 	_, reloadTime := d.weightSource(s, model)
-	if reloadTime == model.FromStore && model.FromDisk > 0 {
+	if reloadTime == model.StoreLoadTime && model.DiskLoadTime > 0 {
 		// Weights that a server has loaded stay on its disk.
-		reloadTime = model.FromDisk
+		reloadTime = model.DiskLoadTime
 	}
 	return drainSeconds + lastCopySeconds + rate*costHorizon.Seconds()*reloadTime.Seconds() + recencySeconds/(1+c.Idle.Seconds())
 }
--- a/internal/policy/swap/index.go
+++ b/internal/policy/swap/index.go
@@ -75,19 +75,19 @@
 		m := x.summary(c.Model)
 		m.servingCopies += s.copyWeight()
 		m.serverCount++
-		m.minPauseRisk = min(m.minPauseRisk, s.Slow)
+		m.minPauseRisk = min(m.minPauseRisk, s.PauseRisk)
 	}
-	if s.Awaited != "" && !s.holds(s.Awaited) {
-		m := x.summary(s.Awaited)
+	if s.Loading != "" && !s.holds(s.Loading) {
+		m := x.summary(s.Loading)
 		in := max(s.FreeIn, time.Millisecond)
 		if m.pendingCopies == 0 || in < m.firstPendingIn {
 			m.firstPendingIn = in
 		}
 		m.pendingCopies += s.copyWeight()
 		m.serverCount++
-		m.minPauseRisk = min(m.minPauseRisk, s.Slow)
+		m.minPauseRisk = min(m.minPauseRisk, s.PauseRisk)
 	}
-	if s.Engaged && s.FreeIn < 0 {
+	if s.Busy && s.FreeIn < 0 {
 		x.unknownServers++
 	}
 	for _, model := range s.OnDisk {
@@ -103,7 +103,7 @@
 func (x *index) addLocalWeights(model string, s *Server) {
 	m := x.summary(model)
 	m.hasLocalWeights = true
-	if !s.Engaged {
+	if !s.Busy {
 		m.freeWithWeights++
 	}
 }
@@ -115,7 +115,7 @@
 
 // copyWeight returns the fraction of a copy that a copy on this server counts as.
 func (s *Server) copyWeight() float64 {
-	return 1 - pauseRiskDiscount*s.Slow
+	return 1 - pauseRiskDiscount*s.PauseRisk
 }
 
 // pauseRiskDiscount is the fraction of a copy that is lost on a server where streams pause for too long.
--- a/internal/policy/swap/swap.go
+++ b/internal/policy/swap/swap.go
@@ -22,16 +22,16 @@
 type Server struct {
 	ID     string
 	Copies []Copy
-	// Engaged is set while the server carries out an order or its state is not known; it then gets no new order.
-	Engaged bool
+	// Busy is set while the server carries out an order or its state is not known; it then gets no new order.
+	Busy bool
 	// FreeIn is the forecast time until an engaged server can take an action, negative if not known.
 	FreeIn time.Duration
-	// Awaited is the model that an engaged server is loading, empty if none.
-	Awaited  string
+	// Loading is the model that an engaged server is loading, empty if none.
+	Loading  string
 	OnDisk   []string
 	InMemory []string
-	// Slow is the probability, 0 to 1, that a long prompt makes streams on this server pause for too long.
-	Slow float64
+	// PauseRisk is the probability, 0 to 1, that a long prompt makes streams on this server pause for too long.
+	PauseRisk float64
 }
 
 // Want is a model with waiting requests.
@@ -50,25 +50,25 @@
 	Wants   []Want
 	// Demand holds the recent demand by model.
 	Demand map[string]Demand
-	// Keep forbids evictions, and loads from the weight store of models whose
+	// Conservative forbids evictions, and loads from the weight store of models whose
 	// weights a server has or, while its state is unknown, may have. The planner
 	// sets it while it knows too little.
-	Keep bool
-	// StoreLoads is the number of loads from the weight store that may begin now, and Loading the number running.
-	StoreLoads int
-	Loading    int
-	// AtOnce is the estimated number of concurrent loads that the weight store serves at full speed.
-	AtOnce int
+	Conservative bool
+	// StoreLoadsLeft is the number of loads from the weight store that may begin now, and Loading the number running.
+	StoreLoadsLeft    int
+	StoreLoadsRunning int
+	// StoreConcurrency is the estimated number of concurrent loads that the weight store serves at full speed.
+	StoreConcurrency int
 }
 
 // Demand is the recent demand for a model.
 type Demand struct {
 	// Rate is the number of requests per second.
 	Rate float64
-	// Each is the prefill time per request, 0 if not known.
-	Each time.Duration
-	// Adapters is the number of the model's adapters in use.
-	Adapters int
+	// PrefillTime is the prefill time per request, 0 if not known.
+	PrefillTime time.Duration
+	// ActiveAdapters is the number of the model's adapters in use.
+	ActiveAdapters int
 }
 
 // Action is an order to a server to unload the models in Evict and then load one.
@@ -78,10 +78,10 @@
 	Load   string
 	// Source is where the weights are loaded from.
 	Source Source
-	// Takes is the forecast time until the model serves.
-	Takes time.Duration
-	// Later marks a deferred load: the server is engaged or has no room yet, and the load is decided again once that changes.
-	Later bool
+	// ReadyIn is the forecast time until the model serves.
+	ReadyIn time.Duration
+	// Deferred marks a deferred load: the server is engaged or has no room yet, and the load is decided again once that changes.
+	Deferred bool
 }
 
 // Source is the place from which a server loads weights.
@@ -136,8 +136,8 @@
 func (d *decision) addAction(s *Server, a Action) {
 	d.usedServers[a.Server], d.chosenModels[a.Load] = true, true
 	if a.Source == FromStore {
-		d.StoreLoads--
-		d.Loading++
+		d.StoreLoadsLeft--
+		d.StoreLoadsRunning++
 	}
 	for _, m := range a.Evict {
 		d.summary(m).servingCopies -= s.copyWeight()
@@ -151,12 +151,12 @@
 	if d.chosenModels[g.want.Model] || !g.extraCopy && d.summary(g.want.Model).pendingCopies > 0 {
 		return
 	}
-	if d.Keep && slowestSource == FromStore && (d.unknownServers > 0 || d.summary(g.want.Model).hasLocalWeights) {
+	if d.Conservative && slowestSource == FromStore && (d.unknownServers > 0 || d.summary(g.want.Model).hasLocalWeights) {
 		return
 	}
 	best, s, cost := d.cheapestLoad(g.want, slowestSource)
 	if slowestSource == FromStore && !g.extraCopy {
-		if deferred, sooner := d.deferredLoad(g.want); sooner && (s == nil || deferred.Takes < best.Takes) {
+		if deferred, sooner := d.deferredLoad(g.want); sooner && (s == nil || deferred.ReadyIn < best.ReadyIn) {
 			d.chosenModels[deferred.Load] = true
 			d.actions = append(d.actions, deferred)
 			return
@@ -176,7 +176,7 @@
 	}
 	for i := range d.Servers {
 		s := &d.Servers[i]
-		if s.Engaged || d.usedServers[s.ID] {
+		if s.Busy || d.usedServers[s.ID] {
 			continue
 		}
 		a, cost, fits := d.loadAt(s, model, w, slowest)
@@ -198,12 +198,12 @@
 	for i := range d.Servers {
 		s := &d.Servers[i]
 		source, readyIn := d.weightSource(s, model)
-		if source == FromStore || s.Engaged && s.FreeIn < 0 || !s.Engaged && w.Waited > maxRoomWait || s.holds(w.Model) {
+		if source == FromStore || s.Busy && s.FreeIn < 0 || !s.Busy && w.Waited > maxRoomWait || s.holds(w.Model) {
 			continue
 		}
 		wait, fits := d.timeToRoom(s, model)
-		if readyIn += max(wait, s.FreeIn); fits && (!ok || readyIn < best.Takes) {
-			best, ok = Action{Server: s.ID, Load: w.Model, Source: source, Takes: readyIn, Later: true}, true
+		if readyIn += max(wait, s.FreeIn); fits && (!ok || readyIn < best.ReadyIn) {
+			best, ok = Action{Server: s.ID, Load: w.Model, Source: source, ReadyIn: readyIn, Deferred: true}, true
 		}
 	}
 	return best, ok
@@ -221,7 +221,7 @@
 		// Keep one concurrent load of the weight store free for the next wanted
 		// model, unless there is no demand yet.
 		slowest := FromDisk
-		if d.Loading == 0 && len(d.Wants) == 0 && !d.Keep && (d.AtOnce > 1 || len(d.Demand) == 0) {
+		if d.StoreLoadsRunning == 0 && len(d.Wants) == 0 && !d.Conservative && (d.StoreConcurrency > 1 || len(d.Demand) == 0) {
 			slowest = FromStore
 		}
 		if a, s := d.fastestSpareLoad(model, slowest); s != nil {
@@ -235,11 +235,11 @@
 func (d *decision) fastestSpareLoad(model *site.Model, slowest Source) (best Action, server *Server) {
 	for i := range d.Servers {
 		s := &d.Servers[i]
-		if s.Engaged || d.usedServers[s.ID] || d.freeMB(s) < model.SizeMB+d.adapterReserveMB(s, model) {
+		if s.Busy || d.usedServers[s.ID] || d.freeMB(s) < model.SizeMB+d.adapterReserveMB(s, model) {
 			continue
 		}
 		a, _, ok := d.loadAt(s, model, Want{Model: model.Name}, slowest)
-		if ok && (server == nil || a.Takes < best.Takes) {
+		if ok && (server == nil || a.ReadyIn < best.ReadyIn) {
 			best, server = a, s
 		}
 	}
--- a/internal/policy/swap/swap_test.go
+++ b/internal/policy/swap/swap_test.go
@@ -15,11 +15,11 @@
 
 // catalogue returns an engine like those of the sites: three models fit a server.
 func catalogue(models int) *site.Engine {
-	e := &site.Engine{Slots: 64, WeightsMB: 220000, AdapterPlaces: 8, LoadsPerSecond: 2.1}
+	e := &site.Engine{ConcurrentRequests: 64, WeightsMB: 220000, MaxLoadedAdapters: 8, StoreLoadsPerSecond: 2.1}
 	for i := range models {
 		e.Models = append(e.Models, site.Model{
-			Name: fmt.Sprintf("m%d", i), SizeMB: 72700, Adapters: 20, AdapterMB: 66,
-			FromStore: 6 * time.Second, FromDisk: 840 * time.Millisecond, FromMemory: 400 * time.Millisecond,
+			Name: fmt.Sprintf("m%d", i), SizeMB: 72700, AdapterCount: 20, AdapterMB: 66,
+			StoreLoadTime: 6 * time.Second, DiskLoadTime: 840 * time.Millisecond, MemoryLoadTime: 400 * time.Millisecond,
 		})
 	}
 	return e
@@ -36,75 +36,75 @@
 		want []Action
 	}{
 		{"loads from disk into free memory before the weight store", Input{
-			Wants: []Want{{Model: "m5", Weight: 1}}, StoreLoads: 4,
+			Wants: []Want{{Model: "m5", Weight: 1}}, StoreLoadsLeft: 4,
 			Servers: []Server{{ID: "a", Copies: []Copy{held("m0", 0)}}, {ID: "b", Copies: []Copy{held("m1", 0)}, OnDisk: []string{"m5"}}},
-		}, []Action{{Server: "b", Load: "m5", Source: FromDisk, Takes: 840 * time.Millisecond}}},
+		}, []Action{{Server: "b", Load: "m5", Source: FromDisk, ReadyIn: 840 * time.Millisecond}}},
 		{"evicts a model with another copy rather than a last copy", Input{
 			Wants: []Want{{Model: "m5", Weight: 1}}, Demand: map[string]Demand{"m0": {Rate: 1}, "m1": {Rate: 0.5}, "m2": {Rate: 0.5}},
 			Servers: []Server{
 				{ID: "a", Copies: []Copy{held("m0", 0), held("m1", 0), held("m2", 0)}, OnDisk: []string{"m5"}},
 				{ID: "b", Copies: []Copy{held("m0", 0), held("m3", 0), held("m4", 0)}},
 			},
-		}, []Action{{Server: "a", Evict: []string{"m0"}, Load: "m5", Source: FromDisk, Takes: 890 * time.Millisecond}}},
+		}, []Action{{Server: "a", Evict: []string{"m0"}, Load: "m5", Source: FromDisk, ReadyIn: 890 * time.Millisecond}}},
 		{"does not evict busy copies and returns a deferred load instead", Input{
 			Wants:   []Want{{Model: "m5", Weight: 1}},
 			Servers: []Server{{ID: "a", Copies: []Copy{held("m0", 3), held("m1", 9), held("m2", 5)}, OnDisk: []string{"m5"}}},
-		}, []Action{{Server: "a", Load: "m5", Source: FromDisk, Takes: 5390 * time.Millisecond, Later: true}}},
+		}, []Action{{Server: "a", Load: "m5", Source: FromDisk, ReadyIn: 5390 * time.Millisecond, Deferred: true}}},
 		{"does not load a wanted model that another server is loading", Input{
-			Wants: []Want{{Model: "m5", Weight: 1}}, StoreLoads: 4,
-			Servers: []Server{{ID: "a", Engaged: true, Awaited: "m5"}, {ID: "b", OnDisk: []string{"m5"}}},
+			Wants: []Want{{Model: "m5", Weight: 1}}, StoreLoadsLeft: 4,
+			Servers: []Server{{ID: "a", Busy: true, Loading: "m5"}, {ID: "b", OnDisk: []string{"m5"}}},
 		}, nil},
 		{"does not evict the only serving copy while another one is loading", Input{
 			Wants: []Want{{Model: "m5", Weight: 1}}, Demand: map[string]Demand{"m0": {Rate: 3}, "m1": {Rate: 0.5}},
 			Servers: []Server{
 				{ID: "a", Copies: []Copy{held("m0", 0), held("m1", 0), held("m2", 0)}, OnDisk: []string{"m5", "m2"}},
-				{ID: "b", Engaged: true, Awaited: "m0", FreeIn: 4 * time.Second},
+				{ID: "b", Busy: true, Loading: "m0", FreeIn: 4 * time.Second},
 			},
-		}, []Action{{Server: "a", Evict: []string{"m2"}, Load: "m5", Source: FromDisk, Takes: 890 * time.Millisecond}}},
+		}, []Action{{Server: "a", Evict: []string{"m2"}, Load: "m5", Source: FromDisk, ReadyIn: 890 * time.Millisecond}}},
 		{"loads from the store on the server without adapters in use", Input{
-			Wants: []Want{{Model: "m5", Weight: 1}}, StoreLoads: 1, Demand: map[string]Demand{"m0": {Rate: 1, Adapters: 6}, "m1": {Rate: 1}},
+			Wants: []Want{{Model: "m5", Weight: 1}}, StoreLoadsLeft: 1, Demand: map[string]Demand{"m0": {Rate: 1, ActiveAdapters: 6}, "m1": {Rate: 1}},
 			Servers: []Server{{ID: "a", Copies: []Copy{held("m0", 0)}}, {ID: "b", Copies: []Copy{held("m1", 0)}}},
-		}, []Action{{Server: "b", Load: "m5", Source: FromStore, Takes: 6 * time.Second}}},
+		}, []Action{{Server: "b", Load: "m5", Source: FromStore, ReadyIn: 6 * time.Second}}},
 		{"defers to an engaged server with the weights that is free sooner than a store load ends", Input{
-			Wants: []Want{{Model: "m5", Weight: 1}}, StoreLoads: 4,
-			Servers: []Server{{ID: "a", Engaged: true, Awaited: "m1", FreeIn: 600 * time.Millisecond, OnDisk: []string{"m5"}}, {ID: "b"}},
-		}, []Action{{Server: "a", Load: "m5", Source: FromDisk, Takes: 1440 * time.Millisecond, Later: true}}},
+			Wants: []Want{{Model: "m5", Weight: 1}}, StoreLoadsLeft: 4,
+			Servers: []Server{{ID: "a", Busy: true, Loading: "m1", FreeIn: 600 * time.Millisecond, OnDisk: []string{"m5"}}, {ID: "b"}},
+		}, []Action{{Server: "a", Load: "m5", Source: FromDisk, ReadyIn: 1440 * time.Millisecond, Deferred: true}}},
 		{"loads from the store if the time until that server is free is not known", Input{
-			Wants: []Want{{Model: "m5", Weight: 1}}, StoreLoads: 4,
-			Servers: []Server{{ID: "a", Engaged: true, FreeIn: -1, OnDisk: []string{"m5"}}, {ID: "b"}},
-		}, []Action{{Server: "b", Load: "m5", Source: FromStore, Takes: 6 * time.Second}}},
+			Wants: []Want{{Model: "m5", Weight: 1}}, StoreLoadsLeft: 4,
+			Servers: []Server{{ID: "a", Busy: true, FreeIn: -1, OnDisk: []string{"m5"}}, {ID: "b"}},
+		}, []Action{{Server: "b", Load: "m5", Source: FromStore, ReadyIn: 6 * time.Second}}},
 		{"does not load from the store on the only server with the weights of a model in demand", Input{
-			Wants: []Want{{Model: "m5", Weight: 2}}, StoreLoads: 1, Demand: map[string]Demand{"m4": {Rate: 0.5}},
+			Wants: []Want{{Model: "m5", Weight: 2}}, StoreLoadsLeft: 1, Demand: map[string]Demand{"m4": {Rate: 0.5}},
 			Servers: []Server{{ID: "a", OnDisk: []string{"m4"}}, {ID: "b", Copies: []Copy{held("m1", 0)}, OnDisk: []string{"m1"}}},
-		}, []Action{{Server: "b", Load: "m5", Source: FromStore, Takes: 6 * time.Second}, {Server: "a", Load: "m4", Source: FromDisk, Takes: 840 * time.Millisecond}}},
+		}, []Action{{Server: "b", Load: "m5", Source: FromStore, ReadyIn: 6 * time.Second}, {Server: "a", Load: "m4", Source: FromDisk, ReadyIn: 840 * time.Millisecond}}},
 		{"defers to a server with the weights that has room soon", Input{
-			Wants: []Want{{Model: "m5", Weight: 1}}, StoreLoads: 4,
+			Wants: []Want{{Model: "m5", Weight: 1}}, StoreLoadsLeft: 4,
 			Servers: []Server{
 				{ID: "a", Copies: []Copy{{Model: "m0", Age: time.Second}, held("m1", 5), held("m2", 5)}, OnDisk: []string{"m5"}}, {ID: "b"},
 			},
-		}, []Action{{Server: "a", Load: "m5", Source: FromDisk, Takes: 1390 * time.Millisecond, Later: true}}},
+		}, []Action{{Server: "a", Load: "m5", Source: FromDisk, ReadyIn: 1390 * time.Millisecond, Deferred: true}}},
 		{"loads from the store once the model has waited too long for room", Input{
-			Wants: []Want{{Model: "m5", Weight: 1, Waited: 2 * time.Second}}, StoreLoads: 4,
+			Wants: []Want{{Model: "m5", Weight: 1, Waited: 2 * time.Second}}, StoreLoadsLeft: 4,
 			Servers: []Server{
 				{ID: "a", Copies: []Copy{{Model: "m0", Age: time.Second}, held("m1", 5), held("m2", 5)}, OnDisk: []string{"m5"}}, {ID: "b"},
 			},
-		}, []Action{{Server: "b", Load: "m5", Source: FromStore, Takes: 6 * time.Second}}},
+		}, []Action{{Server: "b", Load: "m5", Source: FromStore, ReadyIn: 6 * time.Second}}},
 		{"does not load from the store on the only server with the weights of a model without demand", Input{
-			Wants: []Want{{Model: "m5", Weight: 2}}, StoreLoads: 1, Demand: map[string]Demand{"m0": {Rate: 1}},
+			Wants: []Want{{Model: "m5", Weight: 2}}, StoreLoadsLeft: 1, Demand: map[string]Demand{"m0": {Rate: 1}},
 			Servers: []Server{
 				{ID: "a", OnDisk: []string{"m4"}}, {ID: "b", Copies: []Copy{held("m0", 0)}, OnDisk: []string{"m0"}}, {ID: "c", Copies: []Copy{held("m1", 0), held("m2", 0), held("m3", 0)}},
 			},
-		}, []Action{{Server: "b", Load: "m5", Source: FromStore, Takes: 6 * time.Second}, {Server: "a", Load: "m4", Source: FromDisk, Takes: 840 * time.Millisecond}}},
+		}, []Action{{Server: "b", Load: "m5", Source: FromStore, ReadyIn: 6 * time.Second}, {Server: "a", Load: "m4", Source: FromDisk, ReadyIn: 840 * time.Millisecond}}},
 		{"Keep: no load from the store while the state of a server is not known", Input{
-			Wants: []Want{{Model: "m5", Weight: 1}}, StoreLoads: 4, Keep: true, Servers: []Server{{ID: "a"}, {ID: "b", Engaged: true, FreeIn: -1}},
+			Wants: []Want{{Model: "m5", Weight: 1}}, StoreLoadsLeft: 4, Conservative: true, Servers: []Server{{ID: "a"}, {ID: "b", Busy: true, FreeIn: -1}},
 		}, nil},
 		{"Keep: no load from the store of a model whose weights a server has", Input{
-			Wants: []Want{{Model: "m5", Weight: 1}}, StoreLoads: 4, Keep: true,
+			Wants: []Want{{Model: "m5", Weight: 1}}, StoreLoadsLeft: 4, Conservative: true,
 			Servers: []Server{{ID: "a"}, {ID: "b", Copies: []Copy{held("m0", 0), held("m1", 0), held("m2", 0)}, OnDisk: []string{"m5"}}},
 		}, nil},
 		{"Keep: loads from the store what no server has", Input{
-			Wants: []Want{{Model: "m5", Weight: 1}}, StoreLoads: 4, Keep: true, Servers: []Server{{ID: "a"}},
-		}, []Action{{Server: "a", Load: "m5", Source: FromStore, Takes: 6 * time.Second}}},
+			Wants: []Want{{Model: "m5", Weight: 1}}, StoreLoadsLeft: 4, Conservative: true, Servers: []Server{{ID: "a"}},
+		}, []Action{{Server: "a", Load: "m5", Source: FromStore, ReadyIn: 6 * time.Second}}},
 		{"no load from the store while none may begin", Input{
 			Wants: []Want{{Model: "m5", Weight: 1}}, Servers: []Server{{ID: "a", Copies: []Copy{held("m0", 0)}}},
 		}, nil},
@@ -114,40 +114,40 @@
 				{ID: "a", Copies: []Copy{held("m0", 9)}},
 				{ID: "b", Copies: []Copy{held("m1", 0), held("m2", 0), held("m3", 0)}, OnDisk: []string{"m0"}},
 			},
-		}, []Action{{Server: "b", Evict: []string{"m1"}, Load: "m0", Source: FromDisk, Takes: 890 * time.Millisecond}}},
+		}, []Action{{Server: "b", Evict: []string{"m1"}, Load: "m0", Source: FromDisk, ReadyIn: 890 * time.Millisecond}}},
 		{"preloads a model that no server holds into free memory", Input{
 			Servers: []Server{{ID: "a", Copies: []Copy{held("m0", 0)}, OnDisk: []string{"m1"}}},
-		}, []Action{{Server: "a", Load: "m1", Source: FromDisk, Takes: 840 * time.Millisecond}}},
+		}, []Action{{Server: "a", Load: "m1", Source: FromDisk, ReadyIn: 840 * time.Millisecond}}},
 		{"gives the only store load to the busy model without copies", Input{
-			Wants: []Want{{Model: "m4", Weight: 1}, {Model: "m5", Weight: 6}}, StoreLoads: 1, AtOnce: 1,
+			Wants: []Want{{Model: "m4", Weight: 1}, {Model: "m5", Weight: 6}}, StoreLoadsLeft: 1, StoreConcurrency: 1,
 			Demand:  map[string]Demand{"m5": {Rate: 10}, "m4": {Rate: 0.1}, "m0": {Rate: 8}},
 			Servers: []Server{{ID: "a", Copies: []Copy{held("m0", 9)}}, {ID: "b", Copies: []Copy{held("m1", 0)}}},
-		}, []Action{{Server: "a", Load: "m5", Source: FromStore, Takes: 6 * time.Second}}},
+		}, []Action{{Server: "a", Load: "m5", Source: FromStore, ReadyIn: 6 * time.Second}}},
 		{"gives the only store load to a busy model with one copy before a rare model without", Input{
-			Wants: []Want{{Model: "m4", Weight: 1}}, StoreLoads: 1, AtOnce: 1, Demand: map[string]Demand{"m0": {Rate: 16}, "m4": {Rate: 0.1}},
+			Wants: []Want{{Model: "m4", Weight: 1}}, StoreLoadsLeft: 1, StoreConcurrency: 1, Demand: map[string]Demand{"m0": {Rate: 16}, "m4": {Rate: 0.1}},
 			Servers: []Server{{ID: "a", Copies: []Copy{held("m0", 9)}}, {ID: "b", Copies: []Copy{held("m1", 0)}}},
-		}, []Action{{Server: "b", Load: "m0", Source: FromStore, Takes: 6 * time.Second}}},
+		}, []Action{{Server: "b", Load: "m0", Source: FromStore, ReadyIn: 6 * time.Second}}},
 		{"loads an extra copy of a busy model whose only copy is where streams pause", Input{
 			Demand: map[string]Demand{"m0": {Rate: 3}},
 			Servers: []Server{
-				{ID: "a", Slow: 1, Copies: []Copy{held("m0", 4)}, OnDisk: []string{"m0"}},
+				{ID: "a", PauseRisk: 1, Copies: []Copy{held("m0", 4)}, OnDisk: []string{"m0"}},
 				{ID: "b", Copies: []Copy{held("m1", 0), held("m2", 0), held("m3", 0)}, OnDisk: []string{"m0"}},
 			},
-		}, []Action{{Server: "b", Evict: []string{"m1"}, Load: "m0", Source: FromDisk, Takes: 890 * time.Millisecond}}},
+		}, []Action{{Server: "b", Evict: []string{"m1"}, Load: "m0", Source: FromDisk, ReadyIn: 890 * time.Millisecond}}},
 		{"loads a busy model where streams do not pause, even if the load takes longer", Input{
 			Wants: []Want{{Model: "m0", Weight: 2}}, Demand: map[string]Demand{"m0": {Rate: 3}},
 			Servers: []Server{
-				{ID: "a", Slow: 1, InMemory: []string{"m0"}}, {ID: "b", OnDisk: []string{"m0"}},
+				{ID: "a", PauseRisk: 1, InMemory: []string{"m0"}}, {ID: "b", OnDisk: []string{"m0"}},
 			},
-		}, []Action{{Server: "b", Load: "m0", Source: FromDisk, Takes: 840 * time.Millisecond}}},
+		}, []Action{{Server: "b", Load: "m0", Source: FromDisk, ReadyIn: 840 * time.Millisecond}}},
 		{"loads a rare model where the load is fastest, even if streams pause there", Input{
 			Wants: []Want{{Model: "m0", Weight: 1}}, Demand: map[string]Demand{"m0": {Rate: 0.1}},
 			Servers: []Server{
-				{ID: "a", Slow: 1, InMemory: []string{"m0"}}, {ID: "b", OnDisk: []string{"m0"}},
+				{ID: "a", PauseRisk: 1, InMemory: []string{"m0"}}, {ID: "b", OnDisk: []string{"m0"}},
 			},
-		}, []Action{{Server: "a", Load: "m0", Source: FromMemory, Takes: 400 * time.Millisecond}}},
+		}, []Action{{Server: "a", Load: "m0", Source: FromMemory, ReadyIn: 400 * time.Millisecond}}},
 		{"Keep: evicts nothing", Input{
-			Keep: true, Wants: []Want{{Model: "m5", Weight: 1}},
+			Conservative: true, Wants: []Want{{Model: "m5", Weight: 1}},
 			Servers: []Server{{ID: "a", Copies: []Copy{held("m0", 0), held("m1", 0), held("m2", 0)}, OnDisk: []string{"m5"}}},
 		}, nil},
 	}
@@ -166,9 +166,9 @@
 	name := func(i int) string { return fmt.Sprintf("m%d", i) }
 	rapid.Check(t, func(rt *rapid.T) {
 		g := NewWithT(rt)
-		in := Input{Engine: engine, Demand: map[string]Demand{}, StoreLoads: rapid.IntRange(0, 4).Draw(rt, "loads")}
+		in := Input{Engine: engine, Demand: map[string]Demand{}, StoreLoadsLeft: rapid.IntRange(0, 4).Draw(rt, "loads")}
 		for i := range rapid.IntRange(1, 6).Draw(rt, "servers") {
-			s := Server{ID: fmt.Sprintf("s%d", i), Engaged: rapid.Bool().Draw(rt, "engaged"), FreeIn: time.Duration(rapid.IntRange(-1, 5).Draw(rt, "free")) * time.Second}
+			s := Server{ID: fmt.Sprintf("s%d", i), Busy: rapid.Bool().Draw(rt, "engaged"), FreeIn: time.Duration(rapid.IntRange(-1, 5).Draw(rt, "free")) * time.Second}
 			for _, m := range rapid.SliceOfNDistinct(rapid.IntRange(0, 11), 0, 3, rapid.ID[int]).Draw(rt, "held") {
 				s.Copies = append(s.Copies, Copy{Model: name(m), InFlight: rapid.IntRange(0, 5).Draw(rt, "flight"), Age: time.Minute})
 			}
@@ -186,7 +186,7 @@
 		seen := map[string]bool{}
 		storeLoads := 0
 		for _, a := range Decide(in) {
-			if a.Later {
+			if a.Deferred {
 				continue
 			}
 			g.Expect(seen[a.Server]).To(BeFalse(), "a server gets at most one action")
@@ -202,13 +202,13 @@
 				usedMB += 72700
 				g.Expect(c.Model).NotTo(Equal(a.Load))
 			}
-			g.Expect(in.Servers[i].Engaged).To(BeFalse())
+			g.Expect(in.Servers[i].Busy).To(BeFalse())
 			g.Expect(usedMB + 72700).To(BeNumerically("<=", engine.WeightsMB))
 			if a.Source == FromStore {
 				storeLoads++
 			}
 		}
-		g.Expect(storeLoads).To(BeNumerically("<=", in.StoreLoads))
+		g.Expect(storeLoads).To(BeNumerically("<=", in.StoreLoadsLeft))
 	})
 }
 
@@ -273,23 +273,23 @@
 			s.Copies[j].Age += tick
 			s.Copies[j].Idle += tick
 		}
-		if s.Engaged && now >= f.readyAt[i] {
-			s.Copies = append(s.Copies, Copy{Model: s.Awaited})
-			s.OnDisk = append(s.OnDisk, s.Awaited)
-			s.Engaged, s.Awaited = false, ""
+		if s.Busy && now >= f.readyAt[i] {
+			s.Copies = append(s.Copies, Copy{Model: s.Loading})
+			s.OnDisk = append(s.OnDisk, s.Loading)
+			s.Busy, s.Loading = false, ""
 		}
 	}
 }
 
 func (f *simulatedFleet) startLoads(list []Action, now time.Duration) {
 	for _, a := range list {
-		if a.Later {
+		if a.Deferred {
 			continue
 		}
 		i := slices.IndexFunc(f.servers, func(s Server) bool { return s.ID == a.Server })
 		s := &f.servers[i]
 		s.Copies = slices.DeleteFunc(s.Copies, func(c Copy) bool { return slices.Contains(a.Evict, c.Model) })
-		s.Engaged, s.Awaited, f.readyAt[i] = true, a.Load, now+a.Takes
+		s.Busy, s.Loading, f.readyAt[i] = true, a.Load, now+a.ReadyIn
 	}
 }
 
@@ -313,7 +313,7 @@
 			waiting[m] = append(waiting[m], now)
 			rareRequests++
 		}
-		in := Input{Engine: f.engine, Servers: f.servers, StoreLoads: 2, Demand: map[string]Demand{}}
+		in := Input{Engine: f.engine, Servers: f.servers, StoreLoadsLeft: 2, Demand: map[string]Demand{}}
 		for m, arrivals := range waiting {
 			if !f.holds(m) {
 				in.Wants = append(in.Wants, Want{Model: m, Weight: float64(len(arrivals))})
--- a/internal/standin/motor/doc.go
+++ b/internal/standin/engsim/doc.go
@@ -1,4 +1,4 @@
-// Package motor is a stand-in for a model engine. It simulates loads and
+// Package engsim is a stand-in for a model engine. It simulates loads and
 // generations, has fault switches, and counts loads that would exceed its
 // accelerator memory.
-package motor
+package engsim
--- a/internal/standin/motor/generate.go
+++ b/internal/standin/engsim/generate.go
@@ -1,4 +1,4 @@
-package motor
+package engsim
 
 import (
 	"context"
@@ -16,8 +16,8 @@
 
 var vocabulary = strings.Fields("amber bell crystal drop even facet glass hook iron jet knot lamp mirror nickel oval pendant quartz ring silver tier urn velvet wire yarn zinc wool quilt fleece linen cotton")
 
-// Word returns the n-th token of the answer to the messages of a chat completion.
-func Word(messages []byte, index int) string {
+// Token returns the n-th token of the answer to the messages of a chat completion.
+func Token(messages []byte, index int) string {
 	var indexBytes [8]byte
 	for i := range indexBytes {
 		indexBytes[i] = byte(index >> (8 * i))
@@ -29,11 +29,11 @@
 	return vocabulary[hash.Sum64()%uint64(len(vocabulary))] + " "
 }
 
-// Answer returns the whole answer to the messages of a chat completion.
-func Answer(messages []byte, tokens int) string {
+// Completion returns the whole answer to the messages of a chat completion.
+func Completion(messages []byte, tokens int) string {
 	var b strings.Builder
 	for n := range tokens {
-		b.WriteString(Word(messages, n))
+		b.WriteString(Token(messages, n))
 	}
 	return b.String()
 }
@@ -45,7 +45,7 @@
 
 // Generate calls fn with the tokens of the answer after the skipped ones, paced
 // by FirstToken and TokenTime, and returns the finish reason.
-func (m *Motor) Generate(ctx context.Context, r engine.Request, fn func(engine.Token) error) (string, error) {
+func (m *Engine) Generate(ctx context.Context, r engine.Request, fn func(engine.Token) error) (string, error) {
 	var p chatPrompt
 	if err := json.Unmarshal(r.Body, &p); err != nil {
 		return "", &engine.Rejected{Status: 400, Message: err.Error()}
@@ -57,28 +57,28 @@
 		return "", err
 	}
 	defer m.endGeneration()
-	delay := m.settings.FirstToken
+	delay := m.settings.TimeToFirstToken
 	for n := r.SkipTokens; n < p.MaxTokens; n++ {
 		select {
 		case <-time.After(delay):
 		case <-ctx.Done():
-			return "", &engine.Broken{Tokens: n, Err: ctx.Err()}
+			return "", &engine.BrokenStream{Tokens: n, Err: ctx.Err()}
 		}
 		if err := m.waitWhile(ctx, func(f Faults) bool { return f.HangTokens }); err != nil {
 			return "", err
 		}
 		if m.shouldBreak(n - r.SkipTokens) {
-			return "", &engine.Broken{Tokens: n, Err: errors.New("generation broken off by fault switch BreakAfter")}
+			return "", &engine.BrokenStream{Tokens: n, Err: errors.New("generation broken off by fault switch BreakAfter")}
 		}
-		if err := fn(engine.Token{Index: n, Text: Word(p.Messages, n)}); err != nil {
+		if err := fn(engine.Token{Index: n, Text: Token(p.Messages, n)}); err != nil {
 			return "", err
 		}
-		delay = m.settings.TokenTime
+		delay = m.settings.InterTokenLatency
 	}
 	return "stop", nil
 }
 
-func (m *Motor) startGeneration(i engine.Item) error {
+func (m *Engine) startGeneration(i engine.Item) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	base := m.baseModel(i)
@@ -94,7 +94,7 @@
 }
 
 // baseModel returns the state of an item's base model at any version, or nil.
-func (m *Motor) baseModel(i engine.Item) *itemState {
+func (m *Engine) baseModel(i engine.Item) *itemState {
 	for loaded, s := range m.items {
 		if loaded.Model == i.Model && loaded.Adapter == "" {
 			return s
@@ -103,13 +103,13 @@
 	return nil
 }
 
-func (m *Motor) endGeneration() {
+func (m *Engine) endGeneration() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.running--
 }
 
-func (m *Motor) shouldBreak(sentTokens int) bool {
+func (m *Engine) shouldBreak(sentTokens int) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.faults.BreakAfter == 0 || sentTokens < m.faults.BreakAfter {
--- a/internal/standin/motor/motor.go
+++ b/internal/standin/engsim/motor.go
@@ -1,4 +1,4 @@
-package motor
+package engsim
 
 import (
 	"context"
@@ -19,13 +19,13 @@
 	LoadTime    time.Duration
 	AdapterTime time.Duration
 	UnloadTime  time.Duration
-	// FirstToken is the time to first token, TokenTime the inter-token latency.
-	FirstToken time.Duration
-	TokenTime  time.Duration
-	// ReportLag is how long a report is reused before it is refreshed.
-	ReportLag time.Duration
-	// Weights is the weight store that limits loads; nil for no limit.
-	Weights *Weights
+	// TimeToFirstToken is the time to first token, TokenTime the inter-token latency.
+	TimeToFirstToken  time.Duration
+	InterTokenLatency time.Duration
+	// MaxReportAge is how long a report is reused before it is refreshed.
+	MaxReportAge time.Duration
+	// WeightStore is the weight store that limits loads; nil for no limit.
+	WeightStore *WeightStore
 }
 
 // Faults are the fault switches of a stand-in engine.
@@ -50,8 +50,8 @@
 	settled chan struct{}
 }
 
-// Motor is a stand-in engine. It implements engine.Engine.
-type Motor struct {
+// Engine is a stand-in engine. It implements engine.Engine.
+type Engine struct {
 	settings Settings
 	mu       sync.Mutex
 	items    map[engine.Item]*itemState
@@ -71,12 +71,12 @@
 }
 
 // New returns an engine with nothing loaded.
-func New(set Settings) *Motor {
-	return &Motor{settings: set, items: map[engine.Item]*itemState{}, cachedAt: map[string]string{}, faultsChanged: make(chan struct{})}
+func New(set Settings) *Engine {
+	return &Engine{settings: set, items: map[engine.Item]*itemState{}, cachedAt: map[string]string{}, faultsChanged: make(chan struct{})}
 }
 
 // SetFaults replaces the fault switches.
-func (m *Motor) SetFaults(f Faults) {
+func (m *Engine) SetFaults(f Faults) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.faults = f
@@ -96,14 +96,14 @@
 }
 
 // Stats returns the counters.
-func (m *Motor) Stats() Stats {
+func (m *Engine) Stats() Stats {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return Stats{m.overcommits, m.loads, m.generated, m.running, m.maxFence}
 }
 
-// Holds returns the items in memory, including those being loaded or unloaded.
-func (m *Motor) Holds() []engine.Item {
+// LoadedItems returns the items in memory, including those being loaded or unloaded.
+func (m *Engine) LoadedItems() []engine.Item {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var out []engine.Item
@@ -114,7 +114,7 @@
 }
 
 // waitWhile blocks while a fault switch is set.
-func (m *Motor) waitWhile(ctx context.Context, isSet func(Faults) bool) error {
+func (m *Engine) waitWhile(ctx context.Context, isSet func(Faults) bool) error {
 	for {
 		m.mu.Lock()
 		blocked, changed := isSet(m.faults), m.faultsChanged
@@ -125,18 +125,18 @@
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			return &fault.Away{Part: "engine", Err: ctx.Err(), Unsettled: true}
+			return &fault.Unavailable{Service: "engine", Err: ctx.Err(), MayHaveApplied: true}
 		}
 	}
 }
 
 // Load loads an item into memory. If the item is already being loaded, it waits
 // for that load.
-func (m *Motor) Load(ctx context.Context, o engine.Order) error {
+func (m *Engine) Load(ctx context.Context, o engine.Order) error {
 	if err := ctx.Err(); err != nil {
-		return &fault.Away{Part: "engine", Err: err}
+		return &fault.Unavailable{Service: "engine", Err: err}
 	}
-	if err := o.Allowed(ctx); err != nil {
+	if err := o.Authorized(ctx); err != nil {
 		return err
 	}
 	if err := m.waitWhile(ctx, func(f Faults) bool { return f.HangOrders }); err != nil {
@@ -151,7 +151,7 @@
 
 // beginLoad checks the fencing token and the free memory and starts a load. It
 // returns a channel that is closed when the load has ended.
-func (m *Motor) beginLoad(o engine.Order) (chan struct{}, error) {
+func (m *Engine) beginLoad(o engine.Order) (chan struct{}, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if err := m.checkFence(o.Fence); err != nil {
@@ -159,7 +159,7 @@
 	}
 	if m.faults.FailLoads > 0 {
 		m.faults.FailLoads--
-		return nil, &fault.Away{Part: "engine", Err: errors.New("load failed"), Unsettled: true}
+		return nil, &fault.Unavailable{Service: "engine", Err: errors.New("load failed"), MayHaveApplied: true}
 	}
 	if s, ok := m.items[o.Item]; ok {
 		return s.settled, nil
@@ -167,7 +167,7 @@
 	free := m.settings.MemoryBytes - m.usedBytes()
 	if o.Bytes > free {
 		m.overcommits++
-		return nil, &engine.NoMemory{Item: o.Item, Free: free}
+		return nil, &engine.OutOfMemory{Item: o.Item, Free: free}
 	}
 	s := &itemState{bytes: o.Bytes, loading: true, settled: make(chan struct{})}
 	m.items[o.Item] = s
@@ -183,18 +183,18 @@
 	return s.settled, nil
 }
 
-func (m *Motor) loadTime(i engine.Item) time.Duration {
+func (m *Engine) loadTime(i engine.Item) time.Duration {
 	loadTime := m.settings.LoadTime
 	if i.Adapter != "" {
 		loadTime = m.settings.AdapterTime
 	}
-	if m.settings.Weights != nil {
-		return m.settings.Weights.startLoad(loadTime, i.Adapter != "")
+	if m.settings.WeightStore != nil {
+		return m.settings.WeightStore.startLoad(loadTime, i.Adapter != "")
 	}
 	return loadTime
 }
 
-func (m *Motor) checkFence(fence int64) error {
+func (m *Engine) checkFence(fence int64) error {
 	if m.settings.CheckFence && fence < m.maxFence {
 		return &engine.Fenced{Given: fence, Current: m.maxFence}
 	}
@@ -202,7 +202,7 @@
 	return nil
 }
 
-func (m *Motor) usedBytes() int64 {
+func (m *Engine) usedBytes() int64 {
 	var sum int64
 	for _, s := range m.items {
 		sum += s.bytes
@@ -211,11 +211,11 @@
 }
 
 // Unload removes an item from memory, after a load of it in progress has ended.
-func (m *Motor) Unload(ctx context.Context, o engine.Order) error {
+func (m *Engine) Unload(ctx context.Context, o engine.Order) error {
 	if err := ctx.Err(); err != nil {
-		return &fault.Away{Part: "engine", Err: err}
+		return &fault.Unavailable{Service: "engine", Err: err}
 	}
-	if err := o.Allowed(ctx); err != nil {
+	if err := o.Authorized(ctx); err != nil {
 		return err
 	}
 	if err := m.waitWhile(ctx, func(f Faults) bool { return f.HangOrders }); err != nil {
@@ -237,7 +237,7 @@
 
 // beginUnload starts an unload. It returns a channel that is closed when the load
 // or unload in progress has ended; done is true if the item is not in memory.
-func (m *Motor) beginUnload(o engine.Order) (settled chan struct{}, done bool, err error) {
+func (m *Engine) beginUnload(o engine.Order) (settled chan struct{}, done bool, err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if err := m.checkFence(o.Fence); err != nil {
@@ -261,34 +261,34 @@
 }
 
 // awaitSettled waits until an order has ended and applies LoseAnswers.
-func (m *Motor) awaitSettled(ctx context.Context, settled chan struct{}) error {
+func (m *Engine) awaitSettled(ctx context.Context, settled chan struct{}) error {
 	select {
 	case <-settled:
 		return m.loseAnswer()
 	case <-ctx.Done():
-		return &fault.Away{Part: "engine", Err: ctx.Err(), Unsettled: true}
+		return &fault.Unavailable{Service: "engine", Err: ctx.Err(), MayHaveApplied: true}
 	}
 }
 
-func (m *Motor) loseAnswer() error {
+func (m *Engine) loseAnswer() error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.faults.LoseAnswers == 0 {
 		return nil
 	}
 	m.faults.LoseAnswers--
-	return &fault.Away{Part: "engine", Err: errors.New("answer lost"), Unsettled: true}
+	return &fault.Unavailable{Service: "engine", Err: errors.New("answer lost"), MayHaveApplied: true}
 }
 
 // Report returns the state of the engine, which is up to ReportLag old.
-func (m *Motor) Report(context.Context) (engine.Report, error) {
+func (m *Engine) Report(context.Context) (engine.Report, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.reportedAt.IsZero() || time.Since(m.reportedAt) >= m.settings.ReportLag {
+	if m.reportedAt.IsZero() || time.Since(m.reportedAt) >= m.settings.MaxReportAge {
 		m.reportedAt = time.Now()
 		m.reported = engine.Report{MemoryBytes: m.settings.MemoryBytes, Running: m.running, Cached: maps.Clone(m.cachedAt)}
 		for i, s := range m.items {
-			m.reported.Held = append(m.reported.Held, engine.Held{Item: i, Bytes: s.bytes, Loading: s.loading})
+			m.reported.Items = append(m.reported.Items, engine.LoadedItem{Item: i, Bytes: s.bytes, Loading: s.loading})
 		}
 	}
 	out := m.reported
@@ -296,4 +296,4 @@
 	return out, nil
 }
 
-var _ engine.Engine = (*Motor)(nil)
+var _ engine.Engine = (*Engine)(nil)
--- a/internal/standin/motor/server.go
+++ b/internal/standin/engsim/server.go
@@ -1,4 +1,4 @@
-package motor
+package engsim
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 )
 
 // Handler returns the HTTP interface: the engine protocol, /faults and /stats.
-func (m *Motor) Handler() http.Handler {
+func (m *Engine) Handler() http.Handler {
 	r := httprouter.New()
 	r.POST("/v1/load", m.serveOrder(m.Load))
 	r.POST("/v1/unload", m.serveOrder(m.Unload))
@@ -49,7 +49,7 @@
 	FreeBytes int64  `json:"free_bytes,omitempty"`
 }
 
-func (m *Motor) serveOrder(order func(context.Context, engine.Order) error) httprouter.Handle {
+func (m *Engine) serveOrder(order func(context.Context, engine.Order) error) httprouter.Handle {
 	return func(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 		var b orderBody
 		if err := json.NewDecoder(r.Body).Decode(&b); err != nil {
@@ -60,7 +60,7 @@
 		defer cancel()
 		err := order(ctx, engine.Order{Item: engine.Item{Model: b.Model, Adapter: b.Adapter, Version: b.Version}, Bytes: b.MemoryBytes, Fence: b.Fence})
 		var fenced *engine.Fenced
-		var full *engine.NoMemory
+		var full *engine.OutOfMemory
 		switch {
 		case err == nil:
 			reply(w, http.StatusOK, struct{}{})
@@ -76,7 +76,7 @@
 	}
 }
 
-func (m *Motor) serveReport(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
+func (m *Engine) serveReport(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	report, err := m.Report(r.Context())
 	if err != nil {
 		reply(w, http.StatusInternalServerError, problemBody{Error: err.Error()})
@@ -95,7 +95,7 @@
 		Cached      map[string]string `json:"cached"`
 		Items       []item            `json:"items"`
 	}{report.MemoryBytes, report.Running, report.Cached, nil}
-	for _, h := range report.Held {
+	for _, h := range report.Items {
 		state := "loaded"
 		if h.Loading {
 			state = "loading"
@@ -106,7 +106,7 @@
 }
 
 // serveChat streams a completion; the model field may name a model or an adapter.
-func (m *Motor) serveChat(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
+func (m *Engine) serveChat(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	var raw json.RawMessage
 	var b struct {
 		Model  string `json:"model"`
@@ -148,7 +148,7 @@
 
 // itemNamed returns the item in memory, other than those being loaded, whose
 // model or adapter has the name.
-func (m *Motor) itemNamed(name string) (engine.Item, bool) {
+func (m *Engine) itemNamed(name string) (engine.Item, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for i, s := range m.items {
--- a/internal/standin/motor/weights.go
+++ b/internal/standin/engsim/weights.go
@@ -1,4 +1,4 @@
-package motor
+package engsim
 
 import (
 	"sync"
@@ -12,9 +12,9 @@
 	adaptersAtFullSpeed = 30
 )
 
-// Weights is a stand-in weight store shared by engines. Model loads start at a
+// WeightStore is a stand-in weight store shared by engines. Model loads start at a
 // bounded rate, and concurrent loads beyond a limit slow each other down.
-type Weights struct {
+type WeightStore struct {
 	mu           sync.Mutex
 	loadInterval time.Duration
 	nextStart    time.Time
@@ -23,13 +23,13 @@
 	slowdown     float64
 }
 
-// NewWeights returns a weight store that starts at most loadsPerSecond model loads per second.
-func NewWeights(loadsPerSecond float64) *Weights {
-	return &Weights{loadInterval: time.Duration(float64(time.Second) / loadsPerSecond), slowdown: 1}
+// NewWeightStore returns a weight store that starts at most loadsPerSecond model loads per second.
+func NewWeightStore(loadsPerSecond float64) *WeightStore {
+	return &WeightStore{loadInterval: time.Duration(float64(time.Second) / loadsPerSecond), slowdown: 1}
 }
 
 // SetSlowdown sets the factor by which later loads take longer and start at a lower rate.
-func (w *Weights) SetSlowdown(factor float64) {
+func (w *WeightStore) SetSlowdown(factor float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.slowdown = factor
@@ -37,7 +37,7 @@
 
 // startLoad registers a load and returns how long it takes, including the wait
 // for its start.
-func (w *Weights) startLoad(base time.Duration, adapter bool) time.Duration {
+func (w *WeightStore) startLoad(base time.Duration, adapter bool) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	loadTime := time.Duration(float64(base) * w.slowdown)
@@ -59,7 +59,7 @@
 	return loadTime
 }
 
-func (w *Weights) endLoad(count *int) {
+func (w *WeightStore) endLoad(count *int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	*count--
--- a/internal/standin/platf/doc.go
+++ b/internal/standin/kvsim/doc.go
@@ -1,3 +1,3 @@
-// Package platf is a stand-in for the platform: an in-memory key-value store with
+// Package kvsim is a stand-in for the platform: an in-memory key-value store with
 // leases and watches, and the instance list, both with fault switches.
-package platf
+package kvsim
--- a/internal/standin/platf/memory.go
+++ b/internal/standin/kvsim/memory.go
@@ -1,4 +1,4 @@
-package platf
+package kvsim
 
 import (
 	"context"
@@ -42,8 +42,8 @@
 	expires time.Time
 }
 
-// Memory is an in-memory store with fault switches. It implements store.Store.
-type Memory struct {
+// MemoryStore is an in-memory store with fault switches. It implements store.Store.
+type MemoryStore struct {
 	mu          sync.Mutex
 	revision    int64
 	current     map[string]store.KV
@@ -61,16 +61,16 @@
 
 var errUnavailable = errors.New("the store is away")
 
-// NewMemory returns an empty store; the seed determines which answers LoseAnswers affects.
-func NewMemory(seed uint64) *Memory {
-	return &Memory{
+// NewMemoryStore returns an empty store; the seed determines which answers LoseAnswers affects.
+func NewMemoryStore(seed uint64) *MemoryStore {
+	return &MemoryStore{
 		current: map[string]store.KV{}, leases: map[int64]lease{}, revision: 1,
 		changed: make(chan struct{}), rnd: rand.New(rand.NewPCG(seed, 1)),
 	}
 }
 
 // SetFaults replaces the fault switches.
-func (m *Memory) SetFaults(f Faults) {
+func (m *MemoryStore) SetFaults(f Faults) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.faults = f
@@ -78,14 +78,14 @@
 }
 
 // Faults returns the fault switches.
-func (m *Memory) Faults() Faults {
+func (m *MemoryStore) Faults() Faults {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.faults
 }
 
 // Calls returns the number of calls so far.
-func (m *Memory) Calls() Calls {
+func (m *MemoryStore) Calls() Calls {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.calls
@@ -93,7 +93,7 @@
 
 // startCall counts a call, waits for the Delay fault, and returns an error while
 // the Away fault is set.
-func (m *Memory) startCall(ctx context.Context, count *int64) error {
+func (m *MemoryStore) startCall(ctx context.Context, count *int64) error {
 	m.mu.Lock()
 	f := m.faults
 	*count++
@@ -102,17 +102,17 @@
 		select {
 		case <-time.After(f.Delay):
 		case <-ctx.Done():
-			return &fault.Away{Part: "store", Err: ctx.Err(), Unsettled: true}
+			return &fault.Unavailable{Service: "store", Err: ctx.Err(), MayHaveApplied: true}
 		}
 	}
 	if f.Away {
-		return &fault.Away{Part: "store", Err: errUnavailable, Unsettled: true}
+		return &fault.Unavailable{Service: "store", Err: errUnavailable, MayHaveApplied: true}
 	}
 	return nil
 }
 
 // Range returns the keys with a prefix.
-func (m *Memory) Range(ctx context.Context, prefix string) (store.List, error) {
+func (m *MemoryStore) Range(ctx context.Context, prefix string) (store.List, error) {
 	if err := m.startCall(ctx, &m.calls.Reads); err != nil {
 		return store.List{}, err
 	}
@@ -131,7 +131,7 @@
 }
 
 // Get returns one key.
-func (m *Memory) Get(ctx context.Context, key string) (store.KV, bool, error) {
+func (m *MemoryStore) Get(ctx context.Context, key string) (store.KV, bool, error) {
 	if err := m.startCall(ctx, &m.calls.Reads); err != nil {
 		return store.KV{}, false, err
 	}
@@ -145,7 +145,7 @@
 
 // readableState returns the state that reads see and its revision; while StaleBy
 // is set, that is an earlier state rebuilt from the log.
-func (m *Memory) readableState() (map[string]store.KV, int64) {
+func (m *MemoryStore) readableState() (map[string]store.KV, int64) {
 	if m.faults.StaleBy == 0 {
 		return m.current, m.revision
 	}
@@ -165,7 +165,7 @@
 }
 
 // Commit runs a transaction.
-func (m *Memory) Commit(ctx context.Context, t store.Txn) (store.Result, error) {
+func (m *MemoryStore) Commit(ctx context.Context, t store.Txn) (store.Result, error) {
 	if err := m.startCall(ctx, &m.calls.Writes); err != nil {
 		return store.Result{}, err
 	}
@@ -174,17 +174,17 @@
 	m.expireLeases()
 	for _, p := range t.Puts {
 		if _, ok := m.leases[p.Lease]; p.Lease != 0 && !ok {
-			return store.Result{}, &fault.Missing{Key: "lease"}
+			return store.Result{}, &fault.NotFoundError{Key: "lease"}
 		}
 	}
 	res := m.apply(t)
 	if m.faults.LoseAnswers > 0 && m.rnd.Float64() < m.faults.LoseAnswers {
-		return store.Result{}, &fault.Away{Part: "store", Err: errors.New("answer lost"), Unsettled: true}
+		return store.Result{}, &fault.Unavailable{Service: "store", Err: errors.New("answer lost"), MayHaveApplied: true}
 	}
 	return res, nil
 }
 
-func (m *Memory) apply(t store.Txn) store.Result {
+func (m *MemoryStore) apply(t store.Txn) store.Result {
 	comparesHold := true
 	var found []store.KV
 	for _, c := range t.If {
@@ -195,7 +195,7 @@
 		comparesHold = comparesHold && kv.Revision == c.Revision
 	}
 	if !comparesHold {
-		return store.Result{Revision: m.revision, Found: found}
+		return store.Result{Revision: m.revision, Current: found}
 	}
 	if len(t.Puts)+len(t.Deletes) > 0 {
 		m.revision++
@@ -212,7 +212,7 @@
 	return store.Result{Succeeded: true, Revision: m.revision}
 }
 
-func (m *Memory) record(e store.Event) {
+func (m *MemoryStore) record(e store.Event) {
 	if e.Deleted {
 		delete(m.current, e.Key)
 	} else {
@@ -222,13 +222,13 @@
 }
 
 // wakeWatches makes all watches check for events and faults.
-func (m *Memory) wakeWatches() {
+func (m *MemoryStore) wakeWatches() {
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
 
 // expireLeases removes expired leases and deletes their keys.
-func (m *Memory) expireLeases() {
+func (m *MemoryStore) expireLeases() {
 	now := time.Now()
 	for id, l := range m.leases {
 		if now.Before(l.expires) {
@@ -247,7 +247,7 @@
 }
 
 // Grant returns a new lease.
-func (m *Memory) Grant(ctx context.Context, ttl time.Duration) (int64, error) {
+func (m *MemoryStore) Grant(ctx context.Context, ttl time.Duration) (int64, error) {
 	if err := m.startCall(ctx, &m.calls.Leases); err != nil {
 		return 0, err
 	}
@@ -259,7 +259,7 @@
 }
 
 // KeepAlive renews a lease; it returns false if the lease does not exist.
-func (m *Memory) KeepAlive(ctx context.Context, id int64) (bool, error) {
+func (m *MemoryStore) KeepAlive(ctx context.Context, id int64) (bool, error) {
 	if err := m.startCall(ctx, &m.calls.Leases); err != nil {
 		return false, err
 	}
@@ -274,7 +274,7 @@
 }
 
 // Release ends a lease and deletes its keys.
-func (m *Memory) Release(ctx context.Context, id int64) error {
+func (m *MemoryStore) Release(ctx context.Context, id int64) error {
 	if err := m.startCall(ctx, &m.calls.Leases); err != nil {
 		return err
 	}
@@ -289,7 +289,7 @@
 
 // Compact discards the history up to the current revision. Watches that are
 // behind it fail with store.Compacted and have to read everything again.
-func (m *Memory) Compact() {
+func (m *MemoryStore) Compact() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.compactedRevision = m.revision
@@ -298,7 +298,7 @@
 
 // Watch calls fn with the changes under the prefix after a revision until the
 // context ends, fn fails, or the store is unavailable.
-func (m *Memory) Watch(ctx context.Context, prefix string, after int64, fn func(store.Batch) error) error {
+func (m *MemoryStore) Watch(ctx context.Context, prefix string, after int64, fn func(store.Batch) error) error {
 	if err := m.startCall(ctx, &m.calls.Watches); err != nil {
 		return err
 	}
@@ -306,7 +306,7 @@
 		m.mu.Lock()
 		if m.faults.Away {
 			m.mu.Unlock()
-			return &fault.Away{Part: "store watch", Err: errUnavailable}
+			return &fault.Unavailable{Service: "store watch", Err: errUnavailable}
 		}
 		if after < m.compactedRevision {
 			m.mu.Unlock()
@@ -331,7 +331,7 @@
 
 // eventsSince returns the events under the prefix after a revision; none while
 // MuteWatches or StaleBy is set.
-func (m *Memory) eventsSince(prefix string, after int64) store.Batch {
+func (m *MemoryStore) eventsSince(prefix string, after int64) store.Batch {
 	batch := store.Batch{Revision: m.revision}
 	if m.faults.MuteWatches || m.faults.StaleBy > 0 {
 		return batch
@@ -345,10 +345,10 @@
 	return batch
 }
 
-var _ store.Store = (*Memory)(nil)
+var _ store.Store = (*MemoryStore)(nil)
 
-// Peek returns a key's value regardless of faults and without counting a call.
-func (m *Memory) Peek(key string) ([]byte, bool) {
+// ValueIgnoringFaults returns a key's value regardless of faults and without counting a call.
+func (m *MemoryStore) ValueIgnoringFaults(key string) ([]byte, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	kv, ok := m.current[key]
--- a/internal/standin/platf/server.go
+++ b/internal/standin/kvsim/server.go
@@ -1,4 +1,4 @@
-package platf
+package kvsim
 
 import (
 	"encoding/json"
@@ -14,7 +14,7 @@
 
 // Platform is a stand-in platform with a store and an instance list.
 type Platform struct {
-	Store *Memory
+	Store *MemoryStore
 	mu    sync.Mutex
 	list  []fleet.Instance
 	// listLag is the delay until readers see a change of the list.
@@ -30,7 +30,7 @@
 // NewPlatform returns a platform with a list of instances; readers see later
 // changes of the list after listLag.
 func NewPlatform(seed uint64, listLag time.Duration, list []fleet.Instance) *Platform {
-	return &Platform{Store: NewMemory(seed), listLag: listLag, list: list}
+	return &Platform{Store: NewMemoryStore(seed), listLag: listLag, list: list}
 }
 
 // SetInstances replaces the list; readers see the change after the lag.
@@ -40,8 +40,8 @@
 	p.changes = append(p.changes, listChange{time.Now().Add(p.listLag), list})
 }
 
-// Visible returns the list that readers currently see.
-func (p *Platform) Visible() []fleet.Instance {
+// VisibleInstances returns the list that readers currently see.
+func (p *Platform) VisibleInstances() []fleet.Instance {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for len(p.changes) > 0 && !time.Now().Before(p.changes[0].visibleAt) {
@@ -60,7 +60,7 @@
 	r.POST("/v3/lease/keepalive", p.serveKeepAlive)
 	r.POST("/v3/watch", p.serveWatch)
 	r.GET("/v1/instances", func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
-		reply(w, struct{ Instances []fleet.Instance }{p.Visible()})
+		reply(w, struct{ Instances []fleet.Instance }{p.VisibleInstances()})
 	})
 	r.PUT("/v1/instances", func(w http.ResponseWriter, req *http.Request, _ httprouter.Params) {
 		var body struct{ Instances []fleet.Instance }
@@ -172,7 +172,7 @@
 		Succeeded bool       `json:"succeeded"`
 		Responses []response `json:"responses,omitempty"`
 	}{Header: jsonHeader{res.Revision}, Succeeded: res.Succeeded}
-	for _, kv := range res.Found {
+	for _, kv := range res.Current {
 		out.Responses = append(out.Responses, response{toJSONList(store.List{KVs: []store.KV{kv}})})
 	}
 	answer(w, out, err)
--- a/internal/standin/shop/shop.go
+++ b/internal/standin/svcsim/shop.go
@@ -1,4 +1,4 @@
-package shop
+package svcsim
 
 import (
 	"context"
@@ -25,36 +25,36 @@
 	Hang bool
 }
 
-// Shop is a stand-in service endpoint. It implements plain.Service. The endpoints
+// Endpoint is a stand-in service endpoint. It implements plain.Service. The endpoints
 // of one service share a Book.
-type Shop struct {
+type Endpoint struct {
 	name   string
-	book   *Book
+	book   *RunLog
 	mu     sync.Mutex
 	faults Faults
 }
 
-// Book counts the non-idempotent calls that ran, by body, over all endpoints of
+// RunLog counts the non-idempotent calls that ran, by body, over all endpoints of
 // a service.
-type Book struct {
+type RunLog struct {
 	mu         sync.Mutex
 	runsByBody map[string]int
 }
 
-// NewBook returns an empty book.
-func NewBook() *Book {
-	return &Book{runsByBody: map[string]int{}}
+// NewRunLog returns an empty book.
+func NewRunLog() *RunLog {
+	return &RunLog{runsByBody: map[string]int{}}
 }
 
 // Runs returns how often a call with the body ran.
-func (b *Book) Runs(body string) int {
+func (b *RunLog) Runs(body string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.runsByBody[body]
 }
 
-// All returns a copy of the number of runs of each body.
-func (b *Book) All() map[string]int {
+// RunsByBody returns a copy of the number of runs of each body.
+func (b *RunLog) RunsByBody() map[string]int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	out := map[string]int{}
@@ -64,7 +64,7 @@
 	return out
 }
 
-func (b *Book) record(body string) int {
+func (b *RunLog) record(body string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.runsByBody[body]++
@@ -72,12 +72,12 @@
 }
 
 // New returns an endpoint of the named service that records its calls in book.
-func New(name string, book *Book) *Shop {
-	return &Shop{name: name, book: book}
+func New(name string, book *RunLog) *Endpoint {
+	return &Endpoint{name: name, book: book}
 }
 
 // SetFaults replaces the fault switches.
-func (s *Shop) SetFaults(f Faults) {
+func (s *Endpoint) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
@@ -85,7 +85,7 @@
 
 // Do runs a call: GET and HEAD return the number of recorded bodies, other methods
 // record the body.
-func (s *Shop) Do(ctx context.Context, c plain.Call) (plain.Answer, error) {
+func (s *Endpoint) Do(ctx context.Context, c plain.Call) (plain.Answer, error) {
 	s.mu.Lock()
 	f := s.faults
 	loseAnswer := f.LoseAnswers > 0
@@ -104,15 +104,15 @@
 	select {
 	case <-answerDue:
 	case <-ctx.Done():
-		return plain.Answer{}, &plain.Lost{Err: ctx.Err()}
+		return plain.Answer{}, &plain.LostResponse{Err: ctx.Err()}
 	}
 	if loseAnswer {
-		return plain.Answer{}, &plain.Lost{Err: errors.New("fault switch LoseAnswers is set")}
+		return plain.Answer{}, &plain.LostResponse{Err: errors.New("fault switch LoseAnswers is set")}
 	}
 	return result, nil
 }
 
-func (s *Shop) execute(c plain.Call) plain.Answer {
+func (s *Endpoint) execute(c plain.Call) plain.Answer {
 	out := struct {
 		Service string
 		Path    string
@@ -123,7 +123,7 @@
 		out.Entries = s.book.record(string(c.Body))
 		status = http.StatusCreated
 	} else {
-		out.Entries = len(s.book.All())
+		out.Entries = len(s.book.RunsByBody())
 	}
 	body, err := json.Marshal(out)
 	if err != nil {
@@ -133,7 +133,7 @@
 }
 
 // Handler returns the HTTP interface: the service itself, /stats and /faults.
-func (s *Shop) Handler() http.Handler {
+func (s *Endpoint) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT /faults", func(w http.ResponseWriter, r *http.Request) {
 		var f Faults
@@ -145,7 +145,7 @@
 	})
 	mux.HandleFunc("GET /stats", func(w http.ResponseWriter, _ *http.Request) {
 		// A write error means that the caller has disconnected.
-		_ = json.NewEncoder(w).Encode(s.book.All())
+		_ = json.NewEncoder(w).Encode(s.book.RunsByBody())
 	})
 	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
@@ -167,4 +167,4 @@
 	return mux
 }
 
-var _ plain.Service = (*Shop)(nil)
+var _ plain.Service = (*Endpoint)(nil)
--- a/test/contract/back_test.go
+++ b/test/contract/back_test.go
@@ -13,9 +13,9 @@
 	"foxtailcroft/internal/back/engine"
 	"foxtailcroft/internal/back/plain"
 	"foxtailcroft/internal/plat/fleet"
-	"foxtailcroft/internal/standin/motor"
-	"foxtailcroft/internal/standin/platf"
-	"foxtailcroft/internal/standin/shop"
+	"foxtailcroft/internal/standin/engsim"
+	"foxtailcroft/internal/standin/kvsim"
+	"foxtailcroft/internal/standin/svcsim"
 )
 
 var (
@@ -32,12 +32,12 @@
 var _ = Describe("engine", func() {
 	for name, newEngine := range engines() {
 		Context(name, func() {
-			var m *motor.Motor
+			var m *engsim.Engine
 			var e engine.Engine
 			var ctx context.Context
 
 			BeforeEach(func() {
-				m = motor.New(motor.Settings{MemoryBytes: 100, CheckFence: true, LoadTime: 20 * time.Millisecond, UnloadTime: 5 * time.Millisecond, TokenTime: time.Millisecond})
+				m = engsim.New(engsim.Settings{MemoryBytes: 100, CheckFence: true, LoadTime: 20 * time.Millisecond, UnloadTime: 5 * time.Millisecond, InterTokenLatency: time.Millisecond})
 				e = newEngine(m)
 				var cancel context.CancelFunc
 				ctx, cancel = context.WithTimeout(context.Background(), 20*time.Second)
@@ -56,7 +56,7 @@
 
 			It("refuses a load that does not fit into the free memory", func() {
 				Expect(load(baseModel, 60, 1)).To(Succeed())
-				var noMemory *engine.NoMemory
+				var noMemory *engine.OutOfMemory
 				Expect(errors.As(load(engine.Item{Model: "n", Version: "1"}, 60, 1), &noMemory)).To(BeTrue())
 			})
 
@@ -69,16 +69,16 @@
 
 			It("runs the order's Check before it sends a message", func() {
 				refused := &engine.Fenced{Given: 1, Current: 2}
-				err := e.Load(ctx, engine.Order{Item: baseModel, Bytes: 1, Fence: 1, Check: func(context.Context) error { return refused }})
+				err := e.Load(ctx, engine.Order{Item: baseModel, Bytes: 1, Fence: 1, Authorize: func(context.Context) error { return refused }})
 				Expect(err).To(MatchError(refused))
-				Expect(m.Holds()).To(BeEmpty())
+				Expect(m.LoadedItems()).To(BeEmpty())
 			})
 
 			It("unloads an item and accepts a repeated unload", func() {
 				Expect(load(baseModel, 60, 1)).To(Succeed())
 				Expect(e.Unload(ctx, engine.Order{Item: baseModel, Fence: 1})).To(Succeed())
 				Expect(e.Unload(ctx, engine.Order{Item: baseModel, Fence: 1})).To(Succeed())
-				Expect(m.Holds()).To(BeEmpty())
+				Expect(m.LoadedItems()).To(BeEmpty())
 			})
 
 			It("reports its memory and the loaded items", func() {
@@ -86,7 +86,7 @@
 				report, err := e.Report(ctx)
 				Expect(err).NotTo(HaveOccurred())
 				Expect(report.MemoryBytes).To(Equal(int64(100)))
-				Expect(report.Held).To(ConsistOf(engine.Held{Item: baseModel, Bytes: 60}))
+				Expect(report.Items).To(ConsistOf(engine.LoadedItem{Item: baseModel, Bytes: 60}))
 			})
 
 			It("streams a complete answer with its finish reason", func() {
@@ -95,7 +95,7 @@
 				finish, err := e.Generate(ctx, engine.Request{Item: baseModel, Body: chat("5")}, func(t engine.Token) error { text += t.Text; return nil })
 				Expect(err).NotTo(HaveOccurred())
 				Expect(finish).To(Equal("stop"))
-				Expect(text).To(Equal(motor.Answer(prompt, 5)))
+				Expect(text).To(Equal(engsim.Completion(prompt, 5)))
 			})
 
 			It("serves an adapter on its base model", func() {
@@ -107,16 +107,16 @@
 
 			It("resumes a broken stream after the delivered tokens", func() {
 				Expect(load(baseModel, 60, 1)).To(Succeed())
-				m.SetFaults(motor.Faults{BreakAfter: 3})
+				m.SetFaults(engsim.Faults{BreakAfter: 3})
 				text, nextIndex := "", 0
 				appendToken := func(t engine.Token) error { text += t.Text; nextIndex = t.Index + 1; return nil }
 				_, err := e.Generate(ctx, engine.Request{Item: baseModel, Body: chat("8")}, appendToken)
-				var broken *engine.Broken
+				var broken *engine.BrokenStream
 				Expect(errors.As(err, &broken)).To(BeTrue())
 				Expect(broken.Tokens).To(Equal(3))
 				_, err = e.Generate(ctx, engine.Request{Item: baseModel, Body: chat("8"), SkipTokens: nextIndex, Prefix: text}, appendToken)
 				Expect(err).NotTo(HaveOccurred())
-				Expect(text).To(Equal(motor.Answer(prompt, 8)))
+				Expect(text).To(Equal(engsim.Completion(prompt, 8)))
 			})
 
 			It("returns NotLoaded for an item that is not loaded", func() {
@@ -140,13 +140,13 @@
 var _ = Describe("plain service", func() {
 	for name, newService := range services() {
 		Context(name, func() {
-			var s *shop.Shop
-			var book *shop.Book
+			var s *svcsim.Endpoint
+			var book *svcsim.RunLog
 			var p plain.Service
 
 			BeforeEach(func() {
-				book = shop.NewBook()
-				s = shop.New("desk", book)
+				book = svcsim.NewRunLog()
+				s = svcsim.New("desk", book)
 				p = newService(s)
 			})
 
@@ -165,17 +165,17 @@
 			})
 
 			It("returns Lost when the answer is lost, as the call may have run", func() {
-				s.SetFaults(shop.Faults{LoseAnswers: 1})
+				s.SetFaults(svcsim.Faults{LoseAnswers: 1})
 				_, err := call(5 * time.Second)
-				var lost *plain.Lost
+				var lost *plain.LostResponse
 				Expect(errors.As(err, &lost)).To(BeTrue())
 				Expect(book.Runs("one")).To(Equal(1))
 			})
 
 			It("returns Lost when a call hangs until its deadline, as the call may have run", func() {
-				s.SetFaults(shop.Faults{Hang: true})
+				s.SetFaults(svcsim.Faults{Hang: true})
 				_, err := call(100 * time.Millisecond)
-				var lost *plain.Lost
+				var lost *plain.LostResponse
 				Expect(errors.As(err, &lost)).To(BeTrue())
 			})
 		})
@@ -193,7 +193,7 @@
 var _ = Describe("instance list", func() {
 	for name, newList := range lists() {
 		It(name+" shows an instance and its leaving mark only after the list lag", func() {
-			p := platf.NewPlatform(1, 100*time.Millisecond, nil)
+			p := kvsim.NewPlatform(1, 100*time.Millisecond, nil)
 			l := newList(p)
 			want := []fleet.Instance{{Name: "e", Role: "agent", Address: "a:1", Region: "r", Domain: "d", Leaving: true}}
 			p.SetInstances(want)
--- a/test/contract/contract_test.go
+++ b/test/contract/contract_test.go
@@ -18,11 +18,11 @@
 	"foxtailcroft/internal/back/plain"
 	"foxtailcroft/internal/plat/fleet"
 	"foxtailcroft/internal/plat/store"
-	"foxtailcroft/internal/standin/motor"
-	"foxtailcroft/internal/standin/platf"
-	"foxtailcroft/internal/standin/shop"
+	"foxtailcroft/internal/standin/engsim"
+	"foxtailcroft/internal/standin/kvsim"
+	"foxtailcroft/internal/standin/svcsim"
 	"foxtailcroft/platform"
-	"foxtailcroft/platform/mimic"
+	"foxtailcroft/platform/fake"
 )
 
 func TestContracts(t *testing.T) {
@@ -41,44 +41,44 @@
 
 // stores returns a constructor for each implementation of the store. Each
 // constructor also returns the in-memory store that holds the data.
-func stores() map[string]func() (store.Store, *platf.Memory) {
-	return map[string]func() (store.Store, *platf.Memory){
-		"memory": func() (store.Store, *platf.Memory) {
-			m := platf.NewMemory(1)
+func stores() map[string]func() (store.Store, *kvsim.MemoryStore) {
+	return map[string]func() (store.Store, *kvsim.MemoryStore){
+		"memory": func() (store.Store, *kvsim.MemoryStore) {
+			m := kvsim.NewMemoryStore(1)
 			return m, m
 		},
-		"etcd JSON client": func() (store.Store, *platf.Memory) {
-			p := platf.NewPlatform(1, 0, nil)
+		"etcd JSON client": func() (store.Store, *kvsim.MemoryStore) {
+			p := kvsim.NewPlatform(1, 0, nil)
 			return store.NewClient(serve(p.Handler()), &http.Transport{}, 1000, metrics.NewSet()), p.Store
 		},
-		"platform client": func() (store.Store, *platf.Memory) {
-			m := platf.NewMemory(1)
-			address := strings.TrimPrefix(serve(mimic.NewStore(m)), "http://")
+		"platform client": func() (store.Store, *kvsim.MemoryStore) {
+			m := kvsim.NewMemoryStore(1)
+			address := strings.TrimPrefix(serve(fake.NewStore(m)), "http://")
 			return platform.NewStore(address, &http.Transport{}, time.Second, metrics.NewSet()), m
 		},
 	}
 }
 
 // lists returns a constructor for each implementation of the instance list.
-func lists() map[string]func(*platf.Platform) fleet.List {
-	return map[string]func(*platf.Platform) fleet.List{
-		"HTTP client": func(p *platf.Platform) fleet.List { return fleet.NewClient(serve(p.Handler()), &http.Transport{}) },
+func lists() map[string]func(*kvsim.Platform) fleet.List {
+	return map[string]func(*kvsim.Platform) fleet.List{
+		"HTTP client": func(p *kvsim.Platform) fleet.List { return fleet.NewClient(serve(p.Handler()), &http.Transport{}) },
 	}
 }
 
 // engines returns a constructor for each implementation of the engine interface.
-func engines() map[string]func(*motor.Motor) engine.Engine {
-	return map[string]func(*motor.Motor) engine.Engine{
-		"stand-in in process": func(m *motor.Motor) engine.Engine { return m },
-		"HTTP client":         func(m *motor.Motor) engine.Engine { return engine.NewClient(serve(m.Handler()), &http.Transport{}) },
+func engines() map[string]func(*engsim.Engine) engine.Engine {
+	return map[string]func(*engsim.Engine) engine.Engine{
+		"stand-in in process": func(m *engsim.Engine) engine.Engine { return m },
+		"HTTP client":         func(m *engsim.Engine) engine.Engine { return engine.NewClient(serve(m.Handler()), &http.Transport{}) },
 	}
 }
 
 // services returns a constructor for each implementation of the plain service interface.
-func services() map[string]func(*shop.Shop) plain.Service {
-	return map[string]func(*shop.Shop) plain.Service{
-		"stand-in in process": func(s *shop.Shop) plain.Service { return s },
-		"HTTP client": func(s *shop.Shop) plain.Service {
+func services() map[string]func(*svcsim.Endpoint) plain.Service {
+	return map[string]func(*svcsim.Endpoint) plain.Service{
+		"stand-in in process": func(s *svcsim.Endpoint) plain.Service { return s },
+		"HTTP client": func(s *svcsim.Endpoint) plain.Service {
 			c, err := plain.NewClient(serve(s.Handler()), &http.Transport{}, &http.Transport{DisableKeepAlives: true})
 			Expect(err).NotTo(HaveOccurred())
 			return c
--- a/test/contract/store_test.go
+++ b/test/contract/store_test.go
@@ -10,14 +10,14 @@
 
 	"foxtailcroft/internal/core/fault"
 	"foxtailcroft/internal/plat/store"
-	"foxtailcroft/internal/standin/platf"
+	"foxtailcroft/internal/standin/kvsim"
 )
 
 var _ = Describe("store", func() {
 	for name, newStore := range stores() {
 		Context(name, func() {
 			var s store.Store
-			var m *platf.Memory
+			var m *kvsim.MemoryStore
 			var ctx context.Context
 
 			BeforeEach(func() {
@@ -51,8 +51,8 @@
 				first := put("k", "1", 0)
 				second := put("k", "2", 0)
 				Expect(second.Succeeded).To(BeFalse())
-				Expect(second.Found).To(HaveLen(1))
-				Expect(second.Found[0].Revision).To(Equal(first.Revision))
+				Expect(second.Current).To(HaveLen(1))
+				Expect(second.Current[0].Revision).To(Equal(first.Revision))
 				Expect(put("k", "2", first.Revision).Succeeded).To(BeTrue())
 			})
 
@@ -96,7 +96,7 @@
 			It("refuses a write under a lease that does not exist", func() {
 				_, err := s.Commit(ctx, store.Txn{Puts: []store.Put{{Key: "orphan", Value: []byte("x"), Lease: 999}}})
 				Expect(err).To(HaveOccurred())
-				var missing *fault.Missing
+				var missing *fault.NotFoundError
 				// The etcd JSON API has no error code for a missing lease, so its client reports a failed call.
 				if name != "etcd JSON client" {
 					Expect(errors.As(err, &missing)).To(BeTrue())
@@ -127,21 +127,21 @@
 			})
 
 			It("returns Away for a call without an answer, marked Unsettled for a write", func() {
-				m.SetFaults(platf.Faults{Away: true})
+				m.SetFaults(kvsim.Faults{Away: true})
 				_, err := s.Commit(ctx, store.Txn{Puts: []store.Put{{Key: "x"}}})
-				var away *fault.Away
+				var away *fault.Unavailable
 				Expect(errors.As(err, &away)).To(BeTrue())
-				Expect(away.Unsettled).To(BeTrue())
+				Expect(away.MayHaveApplied).To(BeTrue())
 				_, err = s.Range(ctx, "x")
 				Expect(errors.As(err, &away)).To(BeTrue())
 			})
 
 			It("finds out the result of a write whose answer is lost", func() {
-				m.SetFaults(platf.Faults{LoseAnswers: 0.8})
-				res, err := store.Settle(ctx, s, store.Txn{If: []store.Compare{{Key: "k"}}, Puts: []store.Put{{Key: "k", Value: []byte("1")}, {Key: "witness"}}}, "witness")
+				m.SetFaults(kvsim.Faults{LoseAnswers: 0.8})
+				res, err := store.CommitOnce(ctx, s, store.Txn{If: []store.Compare{{Key: "k"}}, Puts: []store.Put{{Key: "k", Value: []byte("1")}, {Key: "witness"}}}, "witness")
 				Expect(err).NotTo(HaveOccurred())
 				Expect(res.Succeeded).To(BeTrue())
-				m.SetFaults(platf.Faults{})
+				m.SetFaults(kvsim.Faults{})
 				kv, _, err := s.Get(ctx, "k")
 				Expect(err).NotTo(HaveOccurred())
 				Expect(kv.Revision).To(Equal(res.Revision))
--- a/test/draws/doc.go
+++ /dev/null
@@ -1,3 +0,0 @@
-// Package draws fixes the random seed of property tests, so that a run can be
-// repeated with the same generated values.
-package draws
--- a/test/pipes/pipes.go
+++ b/test/memnet/pipes.go
@@ -1,4 +1,4 @@
-package pipes
+package memnet
 
 import (
 	"context"
@@ -51,9 +51,9 @@
 	}
 }
 
-// Cut makes new connections to an address hang while on is true, and lets them
+// SetUnreachable makes new connections to an address hang while on is true, and lets them
 // through again when it is false. Open connections are not affected.
-func (n *Network) Cut(address string, on bool) {
+func (n *Network) SetUnreachable(address string, on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.unreachable[address] = on
--- a/test/pipes/doc.go
+++ /dev/null
@@ -1,3 +0,0 @@
-// Package pipes provides an in-memory network of net.Pipe connections for
-// tests and simulations that run in virtual time.
-package pipes
--- a/test/procs/procs_test.go
+++ b/test/procs/procs_test.go
@@ -24,7 +24,7 @@
 	. "github.com/onsi/gomega"
 	"github.com/sourcegraph/conc"
 
-	"foxtailcroft/internal/standin/motor"
+	"foxtailcroft/internal/standin/engsim"
 )
 
 func TestProcesses(t *testing.T) {
@@ -257,7 +257,7 @@
 			text, status, err := d.chat(entry, prompt, 60)
 			mu.Lock()
 			defer mu.Unlock()
-			if text == motor.Answer([]byte(messages(prompt)), 60) {
+			if text == engsim.Completion([]byte(messages(prompt)), 60) {
 				complete++
 				return
 			}
--- a/test/proofs/bookings_test.go
+++ b/test/proofs/bookings_test.go
@@ -10,8 +10,8 @@
 	. "github.com/onsi/gomega"
 
 	"foxtailcroft/internal/core/kinds"
-	"foxtailcroft/internal/standin/platf"
-	"foxtailcroft/internal/standin/shop"
+	"foxtailcroft/internal/standin/kvsim"
+	"foxtailcroft/internal/standin/svcsim"
 )
 
 // startBookings starts two entries and two endpoints of the service "book", which
@@ -41,11 +41,11 @@
 	}{
 		{"no fault", func(*rig) {}},
 		{"service loses answers", func(r *rig) {
-			r.shops["book-0"].SetFaults(shop.Faults{LoseAnswers: 3})
-			r.shops["book-1"].SetFaults(shop.Faults{LoseAnswers: 3})
+			r.shops["book-0"].SetFaults(svcsim.Faults{LoseAnswers: 3})
+			r.shops["book-1"].SetFaults(svcsim.Faults{LoseAnswers: 3})
 		}},
 		{"service slow, partition owner killed", func(r *rig) {
-			r.shops["book-0"].SetFaults(shop.Faults{Delay: 500 * time.Millisecond})
+			r.shops["book-0"].SetFaults(svcsim.Faults{Delay: 500 * time.Millisecond})
 			time.Sleep(300 * time.Millisecond)
 			r.kill(r.agentNamed("book-0").process)
 		}},
@@ -54,12 +54,12 @@
 			time.Sleep(time.Second)
 			r.startServiceAgent("book-0", "d0", "book")
 		}},
-		{"store loses answers to claim writes", func(r *rig) { r.platform.Store.SetFaults(platf.Faults{LoseAnswers: 0.4}) }},
-		{"store slow", func(r *rig) { r.platform.Store.SetFaults(platf.Faults{Delay: 700 * time.Millisecond}) }},
+		{"store loses answers to claim writes", func(r *rig) { r.platform.Store.SetFaults(kvsim.Faults{LoseAnswers: 0.4}) }},
+		{"store slow", func(r *rig) { r.platform.Store.SetFaults(kvsim.Faults{Delay: 700 * time.Millisecond}) }},
 		{"store unreachable for nine seconds", func(r *rig) {
-			r.platform.Store.SetFaults(platf.Faults{Away: true})
+			r.platform.Store.SetFaults(kvsim.Faults{Away: true})
 			time.Sleep(9 * time.Second)
-			r.platform.Store.SetFaults(platf.Faults{})
+			r.platform.Store.SetFaults(kvsim.Faults{})
 		}},
 		{"partition owner cut off from the store, partition moved", func(r *rig) {
 			r.agentNamed("book-0").gate.setCut(true)
@@ -214,8 +214,8 @@
 			}
 		}},
 		{"revocation at the deadline races with the run", func(r *rig) {
-			r.shops["book-0"].SetFaults(shop.Faults{Delay: 1900 * time.Millisecond})
-			r.shops["book-1"].SetFaults(shop.Faults{Delay: 2100 * time.Millisecond})
+			r.shops["book-0"].SetFaults(svcsim.Faults{Delay: 1900 * time.Millisecond})
+			r.shops["book-1"].SetFaults(svcsim.Faults{Delay: 2100 * time.Millisecond})
 		}},
 		{"agent restarted repeatedly", func(r *rig) {
 			for range 3 {
@@ -226,11 +226,11 @@
 			}
 		}},
 		{"service runs the call and loses the answer", func(r *rig) {
-			r.shops["book-0"].SetFaults(shop.Faults{LoseAnswers: 10})
-			r.shops["book-1"].SetFaults(shop.Faults{LoseAnswers: 10})
+			r.shops["book-0"].SetFaults(svcsim.Faults{LoseAnswers: 10})
+			r.shops["book-1"].SetFaults(svcsim.Faults{LoseAnswers: 10})
 		}},
-		{"service refuses the call", func(r *rig) { r.shops["book-0"].SetFaults(shop.Faults{Refuse: true}) }},
-		{"service hangs", func(r *rig) { r.shops["book-0"].SetFaults(shop.Faults{Hang: true}) }},
+		{"service refuses the call", func(r *rig) { r.shops["book-0"].SetFaults(svcsim.Faults{Refuse: true}) }},
+		{"service hangs", func(r *rig) { r.shops["book-0"].SetFaults(svcsim.Faults{Hang: true}) }},
 		{"links drop all bytes", func(r *rig) { r.net.silence("addr-book-0", "") }},
 	}
 	for _, c := range cases {
--- a/test/proofs/config_test.go
+++ b/test/proofs/config_test.go
@@ -12,7 +12,7 @@
 
 	"foxtailcroft/internal/core/kinds"
 	"foxtailcroft/internal/core/view"
-	"foxtailcroft/internal/standin/platf"
+	"foxtailcroft/internal/standin/kvsim"
 )
 
 // inForceLimit bounds the time in which an accepted configuration must reach
@@ -96,23 +96,23 @@
 		repair func(r *rig)
 	}{
 		{"no fault", func(*rig) {}, nil},
-		{"store loses answers to writes", func(r *rig) { r.platform.Store.SetFaults(platf.Faults{LoseAnswers: 0.7}) }, nil},
+		{"store loses answers to writes", func(r *rig) { r.platform.Store.SetFaults(kvsim.Faults{LoseAnswers: 0.7}) }, nil},
 		{"a relay is killed", func(r *rig) { r.kill(r.agentNamed(r.busyRelay()).process) }, nil},
 		{"a relay's links drop all bytes", func(r *rig) { r.net.silence("addr-"+r.busyRelay(), "") }, nil},
 		{"a relay is cut off from the store", func(r *rig) { r.agentNamed(r.busyRelay()).gate.setCut(true) }, nil},
 		{"watches deliver nothing for two seconds", func(r *rig) {
-			r.platform.Store.SetFaults(platf.Faults{MuteWatches: true})
+			r.platform.Store.SetFaults(kvsim.Faults{MuteWatches: true})
 			r.group.Go(func() {
 				time.Sleep(2 * time.Second)
-				r.platform.Store.SetFaults(platf.Faults{})
+				r.platform.Store.SetFaults(kvsim.Faults{})
 			})
 		}, nil},
 		{"store fails over and serves stale reads", func(r *rig) {
 			r.group.Go(func() {
 				time.Sleep(100 * time.Millisecond)
-				r.platform.Store.SetFaults(platf.Faults{StaleBy: 3})
+				r.platform.Store.SetFaults(kvsim.Faults{StaleBy: 3})
 				time.Sleep(3 * time.Second)
-				r.platform.Store.SetFaults(platf.Faults{})
+				r.platform.Store.SetFaults(kvsim.Faults{})
 			})
 		}, nil},
 		{"a node is partitioned from all others and returns", func(r *rig) {
@@ -173,7 +173,7 @@
 func (r *rig) busyRelay() string {
 	first := ""
 	for name, a := range r.allAgents() {
-		if a.Member.Relay != nil && a.Member.Relay.Busy() && (first == "" || name < first) {
+		if a.Member.Relay != nil && a.Member.Relay.HasFollowers() && (first == "" || name < first) {
 			first = name
 		}
 	}
@@ -213,10 +213,10 @@
 		warm := chatRequest{model: "m", prompt: "x", tokens: 3, timeout: 30 * time.Second}
 		r.g.Expect(r.anyEntry().chat(warm).status).To(Equal(http.StatusOK))
 		holder := r.slotEndpoint("m", 0)
-		r.platform.Store.SetFaults(platf.Faults{Away: true, LoseAnswers: 0})
+		r.platform.Store.SetFaults(kvsim.Faults{Away: true, LoseAnswers: 0})
 		r.kill(r.agentNamed(holder).process)
 		time.Sleep(time.Second)
-		r.platform.Store.SetFaults(platf.Faults{})
+		r.platform.Store.SetFaults(kvsim.Faults{})
 		r.restartWithoutStore(holder)
 		r.eventually(10*time.Second, func() string { return r.nodeBehind(1) })
 		r.g.Expect(r.anyEntry().chat(warm).status).To(Equal(http.StatusOK), "the replica still loaded in the engine must be served")
--- a/test/proofs/errors_test.go
+++ b/test/proofs/errors_test.go
@@ -14,5 +14,5 @@
 	if err == nil {
 		err = errors.New("node is cut off from the store")
 	}
-	return &fault.Away{Part: "store", Err: err, Unsettled: true}
+	return &fault.Unavailable{Service: "store", Err: err, MayHaveApplied: true}
 }
--- a/test/proofs/history_test.go
+++ b/test/proofs/history_test.go
@@ -13,7 +13,7 @@
 	"github.com/anishathalye/porcupine"
 	. "github.com/onsi/gomega"
 
-	"foxtailcroft/internal/standin/platf"
+	"foxtailcroft/internal/standin/kvsim"
 )
 
 // write is one operator's conditional change of the policy: it applies only at the
@@ -76,7 +76,7 @@
 		r.startEntry("entry-0", "d0")
 		r.startEntry("entry-1", "d1")
 		time.Sleep(5 * time.Second)
-		r.platform.Store.SetFaults(platf.Faults{LoseAnswers: 0.4, Delay: 5 * time.Millisecond})
+		r.platform.Store.SetFaults(kvsim.Faults{LoseAnswers: 0.4, Delay: 5 * time.Millisecond})
 		var clock atomic.Int64
 		var mu sync.Mutex
 		var history []porcupine.Operation
@@ -101,7 +101,7 @@
 			})
 		}
 		runAll(operators...)
-		r.platform.Store.SetFaults(platf.Faults{})
+		r.platform.Store.SetFaults(kvsim.Faults{})
 		accepted := 0
 		for _, op := range history {
 			if op.Output.(writeResult).status == http.StatusOK {
--- a/test/proofs/memory_test.go
+++ b/test/proofs/memory_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/gomega"
 
 	"foxtailcroft/internal/core/kinds"
-	"foxtailcroft/internal/standin/motor"
+	"foxtailcroft/internal/standin/engsim"
 )
 
 // adapter declares an adapter of the model base that takes gb gigabytes.
@@ -21,22 +21,22 @@
 func TestMemoryNeverOvercommitted(t *testing.T) {
 	cases := []struct {
 		name     string
-		settings func(s *motor.Settings)
-		fault    func(r *rig, m *motor.Motor)
+		settings func(s *engsim.Settings)
+		fault    func(r *rig, m *engsim.Engine)
 	}{
 		{"concurrent loads of models and adapters", nil, nil},
-		{"engine loses answers to orders", nil, func(_ *rig, m *motor.Motor) { m.SetFaults(motor.Faults{LoseAnswers: 6}) }},
-		{"loads fail", nil, func(_ *rig, m *motor.Motor) { m.SetFaults(motor.Faults{FailLoads: 4}) }},
-		{"unload slower than the next load", func(s *motor.Settings) { s.UnloadTime, s.LoadTime = 6*time.Second, time.Second }, nil},
-		{"engine report lags by three seconds", func(s *motor.Settings) { s.ReportLag = 3 * time.Second }, nil},
+		{"engine loses answers to orders", nil, func(_ *rig, m *engsim.Engine) { m.SetFaults(engsim.Faults{LoseAnswers: 6}) }},
+		{"loads fail", nil, func(_ *rig, m *engsim.Engine) { m.SetFaults(engsim.Faults{FailLoads: 4}) }},
+		{"unload slower than the next load", func(s *engsim.Settings) { s.UnloadTime, s.LoadTime = 6*time.Second, time.Second }, nil},
+		{"engine report lags by three seconds", func(s *engsim.Settings) { s.MaxReportAge = 3 * time.Second }, nil},
 		{"load of a killed agent completes late, engine checks fencing tokens", nil, killAgentDuringLoads},
-		{"load of a killed agent completes late, engine ignores fencing tokens", func(s *motor.Settings) { s.CheckFence = false }, killAgentDuringLoads},
-		{"orders hang for five seconds", nil, func(_ *rig, m *motor.Motor) {
-			m.SetFaults(motor.Faults{HangOrders: true})
+		{"load of a killed agent completes late, engine ignores fencing tokens", func(s *engsim.Settings) { s.CheckFence = false }, killAgentDuringLoads},
+		{"orders hang for five seconds", nil, func(_ *rig, m *engsim.Engine) {
+			m.SetFaults(engsim.Faults{HangOrders: true})
 			time.Sleep(5 * time.Second)
-			m.SetFaults(motor.Faults{})
+			m.SetFaults(engsim.Faults{})
 		}},
-		{"a model's size and version change", nil, func(r *rig, _ *motor.Motor) {
+		{"a model's size and version change", nil, func(r *rig, _ *engsim.Engine) {
 			grown := model("m0", 40, 1)
 			grown.Model.Version = "2"
 			r.applyAndWait(r.anyEntry(), grown)
@@ -79,7 +79,7 @@
 
 // killAgentDuringLoads kills and restarts the agent three times, 1.5 s after its
 // start each time, while loads are under way.
-func killAgentDuringLoads(r *rig, _ *motor.Motor) {
+func killAgentDuringLoads(r *rig, _ *engsim.Engine) {
 	for range 3 {
 		time.Sleep(1500 * time.Millisecond)
 		r.kill(r.agentNamed("engine-0").process)
@@ -103,7 +103,7 @@
 		r.g.Expect(r.anyEntry().request("DELETE", "/admin/v1/Model/m0", "", nil).Code).To(Equal(200))
 		r.restart("engine-0")
 		r.eventually(time.Minute, func() string {
-			return fmt.Sprint(r.motors["engine-0"].Holds())[1 : len(fmt.Sprint(r.motors["engine-0"].Holds()))-1]
+			return fmt.Sprint(r.motors["engine-0"].LoadedItems())[1 : len(fmt.Sprint(r.motors["engine-0"].LoadedItems()))-1]
 		})
 	})
 }
--- a/test/proofs/overload_test.go
+++ b/test/proofs/overload_test.go
@@ -18,7 +18,7 @@
 			r.startEntry(fmt.Sprintf("entry-%d", i), "d0")
 		}
 		s := fastEngine()
-		s.LoadTime, s.FirstToken = 20*time.Second, 0
+		s.LoadTime, s.TimeToFirstToken = 20*time.Second, 0
 		r.startEngineAgent("engine-0", "d0", s)
 		wide := model("quote", 20, 1)
 		wide.Model.Concurrency = 256
--- a/test/proofs/random_test.go
+++ b/test/proofs/random_test.go
@@ -11,14 +11,14 @@
 
 	"pgregory.net/rapid"
 
-	"foxtailcroft/internal/standin/motor"
-	"foxtailcroft/internal/standin/platf"
-	"foxtailcroft/internal/standin/shop"
-	"foxtailcroft/test/draws"
+	"foxtailcroft/internal/standin/engsim"
+	"foxtailcroft/internal/standin/kvsim"
+	"foxtailcroft/internal/standin/svcsim"
+	"foxtailcroft/test/seeds"
 )
 
 // TestMain fixes the seed of the drawn faults.
-func TestMain(m *testing.M) { draws.Main(m, 12) }
+func TestMain(m *testing.M) { seeds.RunTests(m, 12) }
 
 // drawnFault is one random fault: its kind, its time after the start, and the index
 // of the endpoint or entry that it strikes.
@@ -53,15 +53,15 @@
 	engineName, book, entryName := fmt.Sprintf("engine-%d", f.TargetIndex), fmt.Sprintf("book-%d", f.TargetIndex%2), fmt.Sprintf("entry-%d", f.TargetIndex%2)
 	a, b, e := r.agentNamed(engineName), r.agentNamed(book), r.entryNamed(entryName)
 	const faultDuration = 6 * time.Second
-	storeFault := func(s platf.Faults) {
+	storeFault := func(s kvsim.Faults) {
 		r.platform.Store.SetFaults(s)
 		time.Sleep(faultDuration)
-		r.platform.Store.SetFaults(platf.Faults{})
+		r.platform.Store.SetFaults(kvsim.Faults{})
 	}
-	engineFault := func(m motor.Faults) {
+	engineFault := func(m engsim.Faults) {
 		r.motors[engineName].SetFaults(m)
 		time.Sleep(faultDuration)
-		r.motors[engineName].SetFaults(motor.Faults{})
+		r.motors[engineName].SetFaults(engsim.Faults{})
 	}
 	switch f.Kind {
 	case "kill agent":
@@ -89,15 +89,15 @@
 		r.net.heal("addr-"+entryName, "addr-"+engineName)
 		r.net.heal("addr-"+entryName, "addr-"+book)
 	case "store away":
-		storeFault(platf.Faults{Away: true})
+		storeFault(kvsim.Faults{Away: true})
 	case "store slow":
-		storeFault(platf.Faults{Delay: 900 * time.Millisecond})
+		storeFault(kvsim.Faults{Delay: 900 * time.Millisecond})
 	case "answers lost":
-		storeFault(platf.Faults{LoseAnswers: 0.5})
+		storeFault(kvsim.Faults{LoseAnswers: 0.5})
 	case "stale store":
-		storeFault(platf.Faults{StaleBy: 4})
+		storeFault(kvsim.Faults{StaleBy: 4})
 	case "mute watches":
-		storeFault(platf.Faults{MuteWatches: true})
+		storeFault(kvsim.Faults{MuteWatches: true})
 	case "cut store of one":
 		if a != nil {
 			a.gate.setCut(true)
@@ -105,19 +105,19 @@
 			a.gate.setCut(false)
 		}
 	case "engine loses answers":
-		engineFault(motor.Faults{LoseAnswers: 3})
+		engineFault(engsim.Faults{LoseAnswers: 3})
 	case "engine hangs":
-		engineFault(motor.Faults{HangOrders: true})
+		engineFault(engsim.Faults{HangOrders: true})
 	case "tokens hang":
-		engineFault(motor.Faults{HangTokens: true})
+		engineFault(engsim.Faults{HangTokens: true})
 	case "stream breaks":
-		engineFault(motor.Faults{BreakAfter: 4})
+		engineFault(engsim.Faults{BreakAfter: 4})
 	case "loads fail":
-		engineFault(motor.Faults{FailLoads: 2})
+		engineFault(engsim.Faults{FailLoads: 2})
 	case "service loses answers":
-		r.shops[book].SetFaults(shop.Faults{LoseAnswers: 3})
+		r.shops[book].SetFaults(svcsim.Faults{LoseAnswers: 3})
 	case "service slow":
-		r.shops[book].SetFaults(shop.Faults{Delay: 900 * time.Millisecond})
+		r.shops[book].SetFaults(svcsim.Faults{Delay: 900 * time.Millisecond})
 	case "leaving":
 		r.markLeaving(engineName)
 	case "change model":
@@ -242,7 +242,7 @@
 			r := newRig(t, n, time.Second)
 			chats, wantTexts, books := r.runWithFaults(faults)
 			time.Sleep(20 * time.Second)
-			r.platform.Store.SetFaults(platf.Faults{})
+			r.platform.Store.SetFaults(kvsim.Faults{})
 			time.Sleep(30 * time.Second)
 			revision := r.nodesNotConverged()
 			bad = append(r.brokenGuarantees(chats, wantTexts, books), revision...)
--- a/test/proofs/replicas_test.go
+++ b/test/proofs/replicas_test.go
@@ -12,7 +12,7 @@
 	. "github.com/onsi/gomega"
 
 	"foxtailcroft/internal/plat/store"
-	"foxtailcroft/internal/standin/platf"
+	"foxtailcroft/internal/standin/kvsim"
 )
 
 // burst sends n concurrent requests through each entry and returns their outcomes.
@@ -83,10 +83,10 @@
 			r.restart(holder)
 		}},
 		{"store unreachable during the whole burst", func(r *rig) {
-			r.platform.Store.SetFaults(platf.Faults{Away: true})
+			r.platform.Store.SetFaults(kvsim.Faults{Away: true})
 		}},
 		{"store loses answers to plan writes", func(r *rig) {
-			r.platform.Store.SetFaults(platf.Faults{LoseAnswers: 0.5})
+			r.platform.Store.SetFaults(kvsim.Faults{LoseAnswers: 0.5})
 			r.applyAndWait(r.anyEntry(), model("other", 30, 2))
 			r.applyAndWait(r.anyEntry(), model("quote", 20, 1))
 		}},
@@ -109,7 +109,7 @@
 			_, err := r.platform.Store.Commit(context.Background(), store.Txn{Deletes: []string{store.PlannerPrefix + "lease"}})
 			r.g.Expect(err).NotTo(HaveOccurred())
 			r.eventually(10*time.Second, func() string {
-				if _, held := r.platform.Store.Peek(store.PlannerPrefix + "lease"); !held {
+				if _, held := r.platform.Store.ValueIgnoringFaults(store.PlannerPrefix + "lease"); !held {
 					return "no second planner"
 				}
 				return ""
@@ -136,7 +136,7 @@
 				return ""
 			})
 			r.kill(r.agentNamed(holder).process)
-			r.platform.Store.SetFaults(platf.Faults{Away: true})
+			r.platform.Store.SetFaults(kvsim.Faults{Away: true})
 			r.restart(holder)
 		}},
 	}
@@ -159,7 +159,7 @@
 				for _, e := range outcomes {
 					r.g.Expect(e.elapsed).To(BeNumerically("<=", 40*time.Second))
 				}
-				r.platform.Store.SetFaults(platf.Faults{})
+				r.platform.Store.SetFaults(kvsim.Faults{})
 				time.Sleep(40 * time.Second)
 				t.Logf("outcomes %v, loads %d", countOutcomes(outcomes), r.loadCount())
 			})
--- a/test/proofs/rig_test.go
+++ b/test/proofs/rig_test.go
@@ -32,10 +32,10 @@
 	"foxtailcroft/internal/node/member"
 	"foxtailcroft/internal/plat/fleet"
 	"foxtailcroft/internal/plat/store"
-	"foxtailcroft/internal/standin/motor"
-	"foxtailcroft/internal/standin/platf"
-	"foxtailcroft/internal/standin/shop"
-	"foxtailcroft/test/draws"
+	"foxtailcroft/internal/standin/engsim"
+	"foxtailcroft/internal/standin/kvsim"
+	"foxtailcroft/internal/standin/svcsim"
+	"foxtailcroft/test/seeds"
 )
 
 const gigabyte = 1 << 30
@@ -43,8 +43,8 @@
 // seed logs and returns the random seed of this run.
 func seed(t *testing.T) uint64 {
 	t.Helper()
-	t.Logf("FOXTAILCROFT_SEED=%d", draws.Seed())
-	return draws.Seed()
+	t.Logf("FOXTAILCROFT_SEED=%d", seeds.FromEnvironment())
+	return seeds.FromEnvironment()
 }
 
 // rig is a deployment inside one synctest bubble.
@@ -52,15 +52,15 @@
 	t             *testing.T
 	g             *WithT
 	net           *faultyNetwork
-	platform      *platf.Platform
+	platform      *kvsim.Platform
 	listLag       time.Duration
 	mu            sync.Mutex
 	entries       map[string]*entryNode
 	agents        map[string]*agentNode
-	motors        map[string]*motor.Motor
-	motorSettings map[string]motor.Settings
-	books         map[string]*shop.Book
-	shops         map[string]*shop.Shop
+	motors        map[string]*engsim.Engine
+	motorSettings map[string]engsim.Settings
+	books         map[string]*svcsim.RunLog
+	shops         map[string]*svcsim.Endpoint
 	list          []fleet.Instance
 	group         conc.WaitGroup
 	stop          chan struct{}
@@ -109,9 +109,9 @@
 // newRig returns a rig without nodes and starts the observation of its invariants.
 func newRig(t *testing.T, seed uint64, listLag time.Duration) *rig {
 	r := &rig{
-		t: t, g: NewWithT(t), net: newFaultyNetwork(), platform: platf.NewPlatform(seed, listLag, nil), listLag: listLag,
-		entries: map[string]*entryNode{}, agents: map[string]*agentNode{}, motors: map[string]*motor.Motor{}, motorSettings: map[string]motor.Settings{},
-		books: map[string]*shop.Book{}, shops: map[string]*shop.Shop{}, stop: make(chan struct{}),
+		t: t, g: NewWithT(t), net: newFaultyNetwork(), platform: kvsim.NewPlatform(seed, listLag, nil), listLag: listLag,
+		entries: map[string]*entryNode{}, agents: map[string]*agentNode{}, motors: map[string]*engsim.Engine{}, motorSettings: map[string]engsim.Settings{},
+		books: map[string]*svcsim.RunLog{}, shops: map[string]*svcsim.Endpoint{}, stop: make(chan struct{}),
 	}
 	r.group.Go(r.watchInvariants)
 	return r
@@ -228,13 +228,13 @@
 
 // visibleInstances is the instance list as it is visible after the lag. Calls fail
 // while the store is away.
-type visibleInstances struct{ *platf.Platform }
+type visibleInstances struct{ *kvsim.Platform }
 
 func (i visibleInstances) Instances(context.Context) ([]fleet.Instance, error) {
 	if i.Store.Faults().Away {
 		return nil, awayError(context.Background())
 	}
-	return i.Visible(), nil
+	return i.VisibleInstances(), nil
 }
 
 // options adds a node to the instance list and returns its options and its
@@ -252,7 +252,7 @@
 	gate := &gatedStore{Store: r.platform.Store, cut: r.startWithoutStore}
 	return member.Options{
 		Self: node, Listener: r.net.listen(node.Address), Dial: r.net.dialer(node.Address), Store: gate,
-		List: visibleInstances{r.platform}, Meters: metrics.NewSet(), Log: logger(r.t),
+		Instances: visibleInstances{r.platform}, Metrics: metrics.NewSet(), Log: logger(r.t),
 	}, gate
 }
 
@@ -317,49 +317,49 @@
 }
 
 // fastEngine returns the settings of an engine with short load times.
-func fastEngine() motor.Settings {
-	return motor.Settings{
+func fastEngine() engsim.Settings {
+	return engsim.Settings{
 		MemoryBytes: 64 * gigabyte, CheckFence: true, LoadTime: 4 * time.Second, AdapterTime: 10 * time.Millisecond,
-		UnloadTime: 200 * time.Millisecond, FirstToken: 100 * time.Millisecond, TokenTime: 20 * time.Millisecond, ReportLag: 500 * time.Millisecond,
+		UnloadTime: 200 * time.Millisecond, TimeToFirstToken: 100 * time.Millisecond, InterTokenLatency: 20 * time.Millisecond, MaxReportAge: 500 * time.Millisecond,
 	}
 }
 
 // startEngineAgent starts an agent on the endpoint. The endpoint's engine is created
 // once and keeps running when its agents end.
-func (r *rig) startEngineAgent(name, domain string, s motor.Settings) *agentNode {
+func (r *rig) startEngineAgent(name, domain string, s engsim.Settings) *agentNode {
 	r.mu.Lock()
 	m := r.motors[name]
 	if m == nil {
-		m = motor.New(s)
+		m = engsim.New(s)
 		r.motors[name] = m
 		r.motorSettings[name] = s
 	}
 	r.mu.Unlock()
-	o, gate := r.options(plan.Node{Name: name, Role: plan.Agent, Domain: domain, Back: plan.EngineBack, MemoryBytes: s.MemoryBytes})
+	o, gate := r.options(plan.Node{Name: name, Role: plan.Agent, Domain: domain, Back: plan.EngineEndpoint, MemoryBytes: s.MemoryBytes})
 	set := conf.DefaultAgent()
 	set.Engine = &conf.Engine{
-		URL: "http://engine", MemoryBytes: s.MemoryBytes, ChecksFence: s.CheckFence, ReportLag: kinds.Duration(s.ReportLag), OrderTimeout: kinds.Duration(time.Minute),
+		URL: "http://engine", MemoryBytes: s.MemoryBytes, ChecksFence: s.CheckFence, ReportLag: kinds.Duration(s.MaxReportAge), OrderTimeout: kinds.Duration(time.Minute),
 	}
-	return r.startAgentProcess(name, set, o, gate, agent.Backs{Engine: m})
+	return r.startAgentProcess(name, set, o, gate, agent.BackEnds{Engine: m})
 }
 
 // startServiceAgent starts an agent for an endpoint of a plain service. The service
 // and its record of calls keep running when the agent ends.
 func (r *rig) startServiceAgent(name, domain, service string) *agentNode {
 	if r.books[service] == nil {
-		r.books[service] = shop.NewBook()
+		r.books[service] = svcsim.NewRunLog()
 	}
 	if r.shops[name] == nil {
-		r.shops[name] = shop.New(service, r.books[service])
+		r.shops[name] = svcsim.New(service, r.books[service])
 	}
-	o, gate := r.options(plan.Node{Name: name, Role: plan.Agent, Domain: domain, Back: plan.ServiceBack, Service: service})
+	o, gate := r.options(plan.Node{Name: name, Role: plan.Agent, Domain: domain, Back: plan.ServiceEndpoint, Service: service})
 	set := conf.DefaultAgent()
 	set.Service = &conf.Service{Name: service, URL: "http://service"}
-	return r.startAgentProcess(name, set, o, gate, agent.Backs{Plain: r.shops[name]})
+	return r.startAgentProcess(name, set, o, gate, agent.BackEnds{Plain: r.shops[name]})
 }
 
 // startAgentProcess starts an agent with the given settings and back ends.
-func (r *rig) startAgentProcess(name string, set conf.Agent, o member.Options, gate *gatedStore, backs agent.Backs) *agentNode {
+func (r *rig) startAgentProcess(name string, set conf.Agent, o member.Options, gate *gatedStore, backs agent.BackEnds) *agentNode {
 	a, closeAgent := agent.New(set, o, backs)
 	tr, closeTree := tree.New(context.Background(), o.Log)
 	tr.OnClose(closeAgent)
@@ -470,7 +470,7 @@
 	held := map[string]int{}
 	r.mu.Lock()
 	for _, m := range r.motors {
-		for _, i := range m.Holds() {
+		for _, i := range m.LoadedItems() {
 			if i.Adapter == "" {
 				held[i.Model]++
 			}
@@ -488,7 +488,7 @@
 // storedPlan returns a model's plan from the store, or an empty plan if there is none.
 func (r *rig) storedPlan(model string) plan.Plan {
 	var p plan.Plan
-	if value, ok := r.platform.Store.Peek(store.StatePrefix + plan.ModelKey(model)); ok {
+	if value, ok := r.platform.Store.ValueIgnoringFaults(store.StatePrefix + plan.ModelKey(model)); ok {
 		r.g.Expect(json.Unmarshal(value, &p)).To(Succeed())
 	}
 	return p
@@ -510,7 +510,7 @@
 		req.Header.Set(k, v)
 	}
 	w := httptest.NewRecorder()
-	e.Web.Router.ServeHTTP(w, req)
+	e.HTTPServer.Router.ServeHTTP(w, req)
 	return w
 }
 
@@ -534,7 +534,7 @@
 // missingFromNodes describes a resource or plan that a node lacks, or returns "".
 func (r *rig) missingFromNodes(list []kinds.Resource) string {
 	for _, a := range r.allAgents() {
-		if a.Slots != nil && !a.Slots.Confirmed() {
+		if a.Slots != nil && !a.Slots.LoadsAllowed() {
 			return a.name + " has not confirmed its slots"
 		}
 		for _, res := range list {
@@ -572,7 +572,7 @@
 func (r *rig) engineCount(nodes map[string]plan.Node) int {
 	n := 0
 	for _, node := range nodes {
-		if node.Back == plan.EngineBack {
+		if node.Back == plan.EngineEndpoint {
 			n++
 		}
 	}
@@ -636,7 +636,7 @@
 
 // wantText returns the complete answer that the engine stand-in generates.
 func (a chatRequest) wantText() string {
-	return motor.Answer([]byte(a.messages()), a.tokens)
+	return engsim.Completion([]byte(a.messages()), a.tokens)
 }
 
 // chat sends a chat request through an entry and returns its outcome.
--- a/test/proofs/silent_test.go
+++ b/test/proofs/silent_test.go
@@ -15,9 +15,9 @@
 	"foxtailcroft/internal/back/engine"
 	"foxtailcroft/internal/back/plain"
 	"foxtailcroft/internal/plat/store"
-	"foxtailcroft/internal/standin/motor"
-	"foxtailcroft/internal/standin/platf"
-	"foxtailcroft/internal/standin/shop"
+	"foxtailcroft/internal/standin/engsim"
+	"foxtailcroft/internal/standin/kvsim"
+	"foxtailcroft/internal/standin/svcsim"
 )
 
 // withFaultyNetwork serves a stand-in in an in-memory network and runs fn with it.
@@ -46,7 +46,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := fastEngine()
 		s.LoadTime = 10 * time.Second
-		m := motor.New(s)
+		m := engsim.New(s)
 		withFaultyNetwork(t, m.Handler(), func(g *WithT, f *faultyNetwork, transport func() *http.Transport) {
 			e := engine.NewClient("http://standin", transport())
 			ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
@@ -68,7 +68,7 @@
 				return nil
 			}
 			_, err := e.Generate(ctx, engine.Request{Item: item, Body: body}, appendToken)
-			var broken *engine.Broken
+			var broken *engine.BrokenStream
 			g.Expect(errors.As(err, &broken)).To(BeTrue())
 			_, err = e.Generate(ctx, engine.Request{Item: item, Body: body, SkipTokens: nextIndex, Prefix: text}, appendToken)
 			g.Expect(err).NotTo(HaveOccurred())
@@ -81,7 +81,7 @@
 // during a write and then during a watch.
 func TestSilentLinkToTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := platf.NewPlatform(1, 0, nil)
+		p := kvsim.NewPlatform(1, 0, nil)
 		withFaultyNetwork(t, p.Handler(), func(g *WithT, f *faultyNetwork, transport func() *http.Transport) {
 			c := store.NewClient("http://standin", transport(), 1000, metrics.NewSet())
 			ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
@@ -90,7 +90,7 @@
 			g.Expect(err).NotTo(HaveOccurred())
 			f.silence("standin", "")
 			began := time.Now()
-			res, err := store.Settle(ctx, c, store.Txn{Puts: []store.Put{{Key: "k", Value: []byte("1")}, {Key: "w"}}}, "w")
+			res, err := store.CommitOnce(ctx, c, store.Txn{Puts: []store.Put{{Key: "k", Value: []byte("1")}, {Key: "w"}}}, "w")
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(res.Succeeded).To(BeTrue())
 			g.Expect(time.Since(began)).To(BeNumerically("<", 3*time.Second))
@@ -112,9 +112,9 @@
 // checks that the call isn't sent again on another connection.
 func TestSilentLinkToAPlainService(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		book := shop.NewBook()
-		s := shop.New("desk", book)
-		s.SetFaults(shop.Faults{Delay: 500 * time.Millisecond})
+		book := svcsim.NewRunLog()
+		s := svcsim.New("desk", book)
+		s.SetFaults(svcsim.Faults{Delay: 500 * time.Millisecond})
 		withFaultyNetwork(t, s.Handler(), func(g *WithT, f *faultyNetwork, transport func() *http.Transport) {
 			noReuse := transport()
 			noReuse.DisableKeepAlives = true
@@ -124,7 +124,7 @@
 			defer cancel()
 			time.AfterFunc(200*time.Millisecond, func() { f.silence("standin", "") })
 			_, err = c.Do(ctx, plain.Call{Method: http.MethodPost, Path: "/", Body: []byte("one")})
-			var lost *plain.Lost
+			var lost *plain.LostResponse
 			g.Expect(errors.As(err, &lost)).To(BeTrue())
 			g.Expect(book.Runs("one")).To(Equal(1))
 		})
--- a/test/scale/nodes_test.go
+++ b/test/scale/nodes_test.go
@@ -63,7 +63,7 @@
 	const idleTime = 12 * time.Second
 	for _, n := range []int{50, 100, 200, 400, 800} {
 		b.Run(fmt.Sprintf("nodes=%d", n), func(b *testing.B) {
-			settings := local.Default()
+			settings := local.DefaultSettings()
 			settings.Entries, settings.Engines, settings.Services, settings.ServiceEndpoints = 1, 0, []string{"desk"}, n
 			heapBefore := heapBytes()
 			d, stop, err := local.Start(context.Background(), settings, zap.NewNop())
@@ -72,7 +72,7 @@
 			}
 			defer stop()
 			awaitConvergence(b, d)
-			client := remote.New(d.Entries[0], "scale")
+			client := remote.New(d.EntryURLs[0], "scale")
 			for b.Loop() {
 				reportIdleCost(b, d, idleTime)
 				reportChangeCost(b, d, client)
@@ -113,7 +113,7 @@
 	processorBefore, sentBefore := processorTime(), bytesSent(d)
 	var slowest time.Duration
 	for i := range changes {
-		res, err := client.Put(context.Background(), kinds.Resource{Kind: kinds.Policy, Name: "p", Policy: &kinds.PolicySpec{ColdStartPrice: float64(i + 1)}}, remote.Write{})
+		res, err := client.Put(context.Background(), kinds.Resource{Kind: kinds.Policy, Name: "p", Policy: &kinds.PolicySpec{ColdStartPrice: float64(i + 1)}}, remote.WriteOptions{})
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/test/scale/planner_test.go
+++ b/test/scale/planner_test.go
@@ -15,7 +15,7 @@
 	"foxtailcroft/internal/link/peer"
 	"foxtailcroft/internal/plat/fleet"
 	"foxtailcroft/internal/plat/ledger"
-	"foxtailcroft/internal/standin/platf"
+	"foxtailcroft/internal/standin/kvsim"
 )
 
 // failingList is an instance list whose calls all fail.
@@ -32,7 +32,7 @@
 
 // newPlanner returns a planner with the configuration of a deployment of size
 // s. Without withPlans, the configuration lacks the models' plans.
-func newPlanner(b *testing.B, s deploymentSize, withPlans bool) *placer.Placer {
+func newPlanner(b *testing.B, s deploymentSize, withPlans bool) *placer.Planner {
 	b.Helper()
 	h := view.NewHolder()
 	d := configuration(b, s)
@@ -45,12 +45,12 @@
 		}
 		d.Entries = kept
 	}
-	h.Apply(d)
+	h.ApplyDelta(d)
 	pool, closePool := peer.NewPool(failingDial, peer.NewMux(), func() peer.Hello { return peer.Hello{} })
 	b.Cleanup(closePool)
-	memory := platf.NewMemory(1)
-	return &placer.Placer{
-		Self: "entry", Holder: h, Store: memory, Ledger: ledger.New(memory, func(audit.Record) {}), List: failingList{}, Pool: pool,
+	memory := kvsim.NewMemoryStore(1)
+	return &placer.Planner{
+		NodeName: "entry", Holder: h, Store: memory, Ledger: ledger.New(memory, func(audit.Record) {}), Instances: failingList{}, Pool: pool,
 		Log: zap.NewNop(), GoneAfter: time.Hour,
 	}
 }
--- a/test/scale/scale_test.go
+++ b/test/scale/scale_test.go
@@ -45,7 +45,7 @@
 func node(i int) plan.Node {
 	n := plan.Node{
 		Name: fmt.Sprintf("endpoint-%05d", i), Role: plan.Agent, Address: fmt.Sprintf("10.%d.%d.%d:9100", i>>16, i>>8&255, i&255),
-		Region: fmt.Sprintf("region-%d", i%7), Domain: fmt.Sprintf("domain-%02d", i%domainCount), Epoch: 3, Back: plan.EngineBack, MemoryBytes: 640 << 30,
+		Region: fmt.Sprintf("region-%d", i%7), Domain: fmt.Sprintf("domain-%02d", i%domainCount), Epoch: 3, Back: plan.EngineEndpoint, MemoryBytes: 640 << 30,
 	}
 	if i%6 == 0 {
 		n.Role, n.Back, n.MemoryBytes = plan.Entry, "", 0
@@ -115,7 +115,7 @@
 			h := view.NewHolder()
 			for b.Loop() {
 				h = view.NewHolder()
-				h.Apply(d)
+				h.ApplyDelta(d)
 			}
 			b.ReportMetric(float64(heapBytes()-heapBefore)/(1<<20), "heap-MB")
 			b.ReportMetric(float64(valueBytes)/(1<<20), "values-MB")
@@ -132,12 +132,12 @@
 		b.Run(s.String(), func(b *testing.B) {
 			h := view.NewHolder()
 			d := configuration(b, s)
-			h.Apply(d)
+			h.ApplyDelta(d)
 			value := encode(b, modelPlan(3, s.nodes))
 			revision := d.Revision
 			for b.Loop() {
 				revision++
-				h.Apply(view.Delta{Revision: revision, Entries: []view.Entry{{Key: "Plan/model-0003", Value: value, Revision: revision}}})
+				h.ApplyDelta(view.Delta{Revision: revision, Entries: []view.Entry{{Key: "Plan/model-0003", Value: value, Revision: revision}}})
 			}
 		})
 	}
@@ -149,11 +149,11 @@
 		b.Run(s.String(), func(b *testing.B) {
 			h := view.NewHolder()
 			d := configuration(b, s)
-			h.Apply(d)
-			h.Apply(view.Delta{Revision: d.Revision + 1, Entries: []view.Entry{{Key: "Plan/model-0003", Value: encode(b, modelPlan(3, s.nodes)), Revision: d.Revision + 1}}})
+			h.ApplyDelta(d)
+			h.ApplyDelta(view.Delta{Revision: d.Revision + 1, Entries: []view.Entry{{Key: "Plan/model-0003", Value: encode(b, modelPlan(3, s.nodes)), Revision: d.Revision + 1}}})
 			deltaBytes := 0
 			for b.Loop() {
-				deltaBytes = len(encode(b, h.View().Since(d.Revision)))
+				deltaBytes = len(encode(b, h.View().ChangesSince(d.Revision)))
 			}
 			b.ReportMetric(float64(deltaBytes), "bytes")
 		})
--- a/test/draws/draws.go
+++ b/test/seeds/draws.go
@@ -1,4 +1,4 @@
-package draws
+package seeds
 
 import (
 	"flag"
@@ -14,9 +14,9 @@
 // defaultSeed is used unless seedVariable is set.
 const defaultSeed = 20261204
 
-// Seed returns the seed from FOXTAILCROFT_SEED, or the default seed if the
+// FromEnvironment returns the seed from FOXTAILCROFT_SEED, or the default seed if the
 // variable is unset or not a number.
-func Seed() uint64 {
+func FromEnvironment() uint64 {
 	n, err := strconv.ParseUint(os.Getenv(seedVariable), 10, 64)
 	if err != nil {
 		return defaultSeed
@@ -24,13 +24,13 @@
 	return n
 }
 
-// Main runs a package's tests and exits. It sets the seed and the number of
+// RunTests runs a package's tests and exits. It sets the seed and the number of
 // checks of rapid, unless the command line sets these flags, and prints the seed.
-func Main(m *testing.M, checks int) {
+func RunTests(m *testing.M, checks int) {
 	flag.Parse()
 	givenFlags := map[string]bool{}
 	flag.Visit(func(f *flag.Flag) { givenFlags[f.Name] = true })
-	for name, value := range map[string]string{"rapid.seed": fmt.Sprint(Seed()), "rapid.checks": fmt.Sprint(checks), "rapid.nofailfile": "true"} {
+	for name, value := range map[string]string{"rapid.seed": fmt.Sprint(FromEnvironment()), "rapid.checks": fmt.Sprint(checks), "rapid.nofailfile": "true"} {
 		if flag.Lookup(name) == nil || givenFlags[name] {
 			continue
 		}
@@ -38,6 +38,6 @@
 			panic(err)
 		}
 	}
-	fmt.Printf("%s=%d\n", seedVariable, Seed())
+	fmt.Printf("%s=%d\n", seedVariable, FromEnvironment())
 	os.Exit(m.Run())
 }
--- a/test/soak/deployment_test.go
+++ b/test/soak/deployment_test.go
@@ -19,8 +19,8 @@
 	"github.com/sourcegraph/conc"
 
 	"foxtailcroft/internal/plat/store"
-	"foxtailcroft/internal/standin/platf"
-	"foxtailcroft/platform/mimic"
+	"foxtailcroft/internal/standin/kvsim"
+	"foxtailcroft/platform/fake"
 )
 
 const (
@@ -33,7 +33,7 @@
 
 // standinServer is a stand-in server with the proxy in front of it.
 type standinServer struct {
-	server  *mimic.Server
+	server  *fake.Server
 	http    *http.Server
 	proxy   *proxy
 	id      string
@@ -62,9 +62,9 @@
 	ctx           context.Context
 	dir           string
 	binary        string
-	memory        *platf.Memory
-	store         *mimic.Store
-	book          *mimic.Book
+	memory        *kvsim.MemoryStore
+	store         *fake.Store
+	book          *fake.ExecutionLog
 	mu            sync.Mutex
 	servers       []*standinServer
 	fronts        []*frontProcess
@@ -75,8 +75,8 @@
 
 // startDeployment starts the stand-ins, and then the fronts.
 func startDeployment(ctx context.Context, t *testing.T, binary, dir string, fronts int) *deployment {
-	d := &deployment{t: t, ctx: ctx, dir: dir, binary: binary, memory: platf.NewMemory(1), book: &mimic.Book{}}
-	d.store = mimic.NewStore(d.memory)
+	d := &deployment{t: t, ctx: ctx, dir: dir, binary: binary, memory: kvsim.NewMemoryStore(1), book: &fake.ExecutionLog{}}
+	d.store = fake.NewStore(d.memory)
 	address := d.serve(d.store)
 	d.writeDocument()
 	for i := range llmServerCount {
@@ -165,7 +165,7 @@
 		service = "llm"
 	}
 	s := &standinServer{id: id, llm: llm, proxy: p, born: time.Now().UnixMilli()}
-	s.server = mimic.NewServer(mimic.Spec{
+	s.server = fake.NewServer(fake.Spec{
 		ID: id, Born: s.born, Service: service, Address: p.address(), Zone: "a", Slots: 16, Sizes: sizes, WeightsMb: 220000, AdapterSlots: 8,
 		LoadTime: 300 * time.Millisecond, AdapterTime: 8 * time.Millisecond, EventTime: 15 * time.Millisecond, ChecksFence: true, AdapterSizeMb: 60,
 	}, d.book, func() { d.announce(s) }, loadedModels...)
@@ -193,7 +193,7 @@
 	for d.ctx.Err() == nil {
 		time.Sleep(announceInterval)
 		for _, s := range d.liveServers() {
-			kv, ok := d.memory.Peek(s.server.Key())
+			kv, ok := d.memory.ValueIgnoringFaults(s.server.Key())
 			if now := s.server.Announcement(); !ok || string(kv) != string(now) {
 				d.announce(s)
 			}
--- a/test/soak/load_test.go
+++ b/test/soak/load_test.go
@@ -13,7 +13,7 @@
 	"sync/atomic"
 	"time"
 
-	"foxtailcroft/platform/mimic"
+	"foxtailcroft/platform/fake"
 )
 
 // loadGenerator sends requests to the fronts, and compares their outcomes with
@@ -140,7 +140,7 @@
 	if kind == "resume" || kind == "stream" {
 		want = ""
 		for n := range eventsPerStream {
-			want += mimic.Event(n + 1)
+			want += fake.Event(n + 1)
 		}
 	}
 	switch {
@@ -166,7 +166,7 @@
 func (c *loadGenerator) check() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	found := append(append([]string{}, c.violations...), c.d.book.Broken()...)
+	found := append(append([]string{}, c.violations...), c.d.book.Breaches()...)
 	for _, id := range c.atMostOnceIDs {
 		if runs := c.d.book.Runs(id); len(runs) > 1 {
 			found = append(found, fmt.Sprintf("%s ran %d times: %+v", id, len(runs), runs))
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -21,7 +21,7 @@
 
 	"github.com/sourcegraph/conc"
 
-	"foxtailcroft/platform/mimic"
+	"foxtailcroft/platform/fake"
 )
 
 var (
@@ -156,7 +156,7 @@
 		{"server restarts after crash", h.restartServer},
 		{"server is replaced", h.replaceServer},
 		{"server delays orders", func() {
-			h.drawServer().server.SetFaults(mimic.Faults{LateOrders: 2, LateBy: time.Duration(h.rnd.IntN(2000)) * time.Millisecond})
+			h.drawServer().server.SetFaults(fake.Faults{LateOrders: 2, LateBy: time.Duration(h.rnd.IntN(2000)) * time.Millisecond})
 		}},
 	}
 	k := faults[h.rnd.IntN(len(faults))]
@@ -219,18 +219,18 @@
 
 // rejectStoreCalls makes the store answer 503 or 429 for a random time.
 func (h *faultInjector) rejectStoreCalls() {
-	h.d.store.Reject([]int{503, 429}[h.rnd.IntN(2)])
+	h.d.store.SetRejectStatus([]int{503, 429}[h.rnd.IntN(2)])
 	span := h.drawDuration()
 	h.group.Go(func() {
 		time.Sleep(span)
-		h.d.store.Reject(0)
+		h.d.store.SetRejectStatus(0)
 	})
 }
 
 // failServer sets a random fault on a server's answers.
 func (h *faultInjector) failServer() {
-	h.drawServer().server.SetFaults([]mimic.Faults{
-		{Lose: 5}, {Cut: 5, CutAfter: h.rnd.IntN(4)}, {Extra: true}, {Unframed: true}, {Unsigned: true}, {Shed: 20}, {Fail: 8}, {Encoded: true},
+	h.drawServer().server.SetFaults([]fake.Faults{
+		{LostResponses: 5}, {TruncatedResponses: 5, TruncateAfterEvent: h.rnd.IntN(4)}, {Extra: true}, {Unframed: true}, {Unsigned: true}, {RejectedAsFull: 20}, {FailedResponses: 8}, {Encoded: true},
 	}[h.rnd.IntN(8)])
 }
 
@@ -248,7 +248,7 @@
 	s := h.drawServer()
 	h.newServers++
 	h.d.addServer(fmt.Sprintf("%s-n%d", s.id, h.newServers), s.llm)
-	s.server.Leave()
+	s.server.Drain()
 	h.group.Go(func() {
 		time.Sleep(1500 * time.Millisecond)
 		if slices.Contains(h.d.liveServers(), s) {
@@ -260,9 +260,9 @@
 // endFaults waits for timed faults and clears all others.
 func (h *faultInjector) endFaults() {
 	h.group.Wait()
-	h.d.store.Reject(0)
+	h.d.store.SetRejectStatus(0)
 	for _, s := range h.d.liveServers() {
-		s.server.SetFaults(mimic.Faults{})
+		s.server.SetFaults(fake.Faults{})
 		s.proxy.clearFaults()
 	}
 	for _, f := range h.d.fronts {
