--- a/test/contract/contract_test.go
+++ b/test/contract/contract_test.go
@@ -1,4 +1,6 @@
-// Package contract holds one suite for each interface towards an outside system; every implementation runs it.
+// Package contract holds one conformance suite for each interface to an
+// external system (store, instance list, engine, plain service). Every
+// implementation, stand-ins included, has to pass it.
 package contract
 
 import (
@@ -30,14 +32,15 @@
 	RunSpecs(t, "contracts", suite, reporter)
 }
 
-// serve runs a stand-in's handler for one test.
+// serve starts an HTTP server with the handler for the current spec and returns its URL.
 func serve(h http.Handler) string {
 	s := httptest.NewServer(h)
 	DeferCleanup(s.Close)
 	return s.URL
 }
 
-// stores returns each implementation of the store with the memory behind it.
+// stores returns a constructor for each implementation of the store. Each
+// constructor also returns the in-memory store that holds the data.
 func stores() map[string]func() (store.Store, *kvsim.MemoryStore) {
 	return map[string]func() (store.Store, *kvsim.MemoryStore){
 		"memory": func() (store.Store, *kvsim.MemoryStore) {
@@ -56,12 +59,14 @@
 	}
 }
 
+// lists returns a constructor for each implementation of the instance list.
 func lists() map[string]func(*kvsim.Platform) fleet.List {
 	return map[string]func(*kvsim.Platform) fleet.List{
 		"HTTP client": func(p *kvsim.Platform) fleet.List { return fleet.NewClient(serve(p.Handler()), &http.Transport{}) },
 	}
 }
 
+// engines returns a constructor for each implementation of the engine interface.
 func engines() map[string]func(*engsim.Engine) engine.Engine {
 	return map[string]func(*engsim.Engine) engine.Engine{
 		"stand-in in process": func(m *engsim.Engine) engine.Engine { return m },
@@ -69,6 +74,7 @@
 	}
 }
 
+// services returns a constructor for each implementation of the plain service interface.
 func services() map[string]func(*svcsim.Endpoint) plain.Service {
 	return map[string]func(*svcsim.Endpoint) plain.Service{
 		"stand-in in process": func(s *svcsim.Endpoint) plain.Service { return s },
--- a/test/memnet/doc.go
+++ b/test/memnet/doc.go
@@ -1,2 +1,3 @@
-// Package memnet is a network in memory for tests in virtual time.
+// Package memnet provides an in-memory network of net.Pipe connections for
+// tests and simulations that run in virtual time.
 package memnet
--- a/test/seeds/doc.go
+++ b/test/seeds/doc.go
@@ -1,2 +1,3 @@
-// Package seeds fixes the seed of property tests, so that they give the same verdict on every run.
+// Package seeds fixes the random seed of property tests, so that a run can be
+// repeated with the same generated values.
 package seeds
