--- a/cmd/foxtailcroft/delete.go
+++ b/cmd/foxtailcroft/delete.go
@@ -10,7 +10,7 @@
 )
 
 func deleteCommand() *cobra.Command {
-	var t target
+	var flags entryFlags
 	var revision int64
 	var dryRun bool
 	cmd := &cobra.Command{
@@ -19,23 +19,23 @@
 		Args:              cobra.ExactArgs(2),
 		ValidArgsFunction: completeKinds,
 		RunE: func(cmd *cobra.Command, args []string) error {
-			kind, err := kinds.Parse(args[0])
+			kind, err := kinds.ParseKind(args[0])
 			if err != nil {
 				return err
 			}
-			w := remote.Write{DryRun: dryRun}
+			w := remote.WriteOptions{DryRun: dryRun}
 			if cmd.Flags().Changed("revision") {
-				w.Revision = &revision
+				w.IfRevision = &revision
 			}
-			if err := t.client().Delete(cmd.Context(), kind, args[1], w); err != nil {
+			if err := flags.client().Delete(cmd.Context(), kind, args[1], w); err != nil {
 				return err
 			}
-			_, err = fmt.Fprintf(cmd.OutOrStdout(), "%s deleted\n", kinds.Key(kind, args[1]))
+			_, err = fmt.Fprintf(cmd.OutOrStdout(), "%s deleted\n", kinds.ResourceKey(kind, args[1]))
 			return err
 		},
 	}
-	t.add(cmd, "")
-	cmd.Flags().Int64Var(&revision, "revision", 0, "revision that the resource must be at")
-	cmd.Flags().BoolVar(&dryRun, "dry-run", false, "check without changing anything")
+	flags.register(cmd, "")
+	cmd.Flags().Int64Var(&revision, "revision", 0, "delete only if the resource is at this revision")
+	cmd.Flags().BoolVar(&dryRun, "dry-run", false, "validate the deletion without carrying it out")
 	return cmd
 }
--- a/cmd/foxtailcroft/dev.go
+++ b/cmd/foxtailcroft/dev.go
@@ -18,47 +18,47 @@
 	"foxtailcroft/internal/oper/remote"
 )
 
-// readyTimeout bounds the start of the deployment.
+// readyTimeout bounds the time to apply the example resources and for them to come into force.
 const readyTimeout = 60 * time.Second
 
 func devCommand() *cobra.Command {
-	var checked bool
+	var runChecks bool
 	var level string
 	cmd := &cobra.Command{
 		Use:   "dev",
-		Short: "Run a whole deployment with stand-ins in one process on loopback",
+		Short: "Run a complete deployment with stand-ins in one process on the loopback interface",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return runDev(cmd, checked, level)
+			return runDev(cmd, runChecks, level)
 		},
 	}
-	cmd.Flags().BoolVar(&checked, "check", false, "send the example requests, judge how each ends, and exit")
+	cmd.Flags().BoolVar(&runChecks, "check", false, "send the example requests, check their outcomes and exit")
 	cmd.Flags().StringVar(&level, "log", "error", "log level: debug, info, warn or error")
 	return cmd
 }
 
-func runDev(cmd *cobra.Command, checked bool, level string) error {
+func runDev(cmd *cobra.Command, runChecks bool, level string) error {
 	log, err := logs.New(os.Stderr, level, "dev")
 	if err != nil {
 		return eris.Wrap(err, "logger")
 	}
-	resources, err := check.Resources(sample.Files)
+	resources, err := check.ReadResources(sample.Files)
 	if err != nil {
 		return err
 	}
-	d, closeDev, err := local.Start(cmd.Context(), local.Default(), log)
+	d, closeDev, err := local.Start(cmd.Context(), local.DefaultSettings(), log)
 	if err != nil {
 		return eris.Wrap(err, "deployment")
 	}
 	defer closeDev()
-	client := remote.New(d.Entries[0], "dev")
-	if err := devReady(cmd.Context(), client, resources); err != nil {
+	client := remote.New(d.EntryURLs[0], "dev")
+	if err := applyExamples(cmd.Context(), client, resources); err != nil {
 		return err
 	}
-	if checked {
-		return devCheck(cmd.Context(), cmd.OutOrStdout(), client, d)
+	if runChecks {
+		return checkExampleRequests(cmd.Context(), cmd.OutOrStdout(), client, d)
 	}
-	if err := devPrint(cmd.OutOrStdout(), d); err != nil {
+	if err := printURLs(cmd.OutOrStdout(), d); err != nil {
 		return err
 	}
 	select {
@@ -69,35 +69,37 @@
 	}
 }
 
-// devReady applies the example resources and waits until they are in force.
-func devReady(ctx context.Context, client *remote.Client, resources []kinds.Resource) error {
+// applyExamples applies the example resources and waits until they are in force.
+func applyExamples(ctx context.Context, client *remote.Client, resources []kinds.Resource) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	if err := check.Apply(ctx, client, resources); err != nil {
+	if err := check.ApplyResources(ctx, client, resources); err != nil {
 		return eris.Wrap(err, "example resources")
 	}
 	return check.WaitReady(ctx, client, resources)
 }
 
-func devCheck(ctx context.Context, out io.Writer, client *remote.Client, d *local.Deployment) error {
-	requests, err := check.Requests(sample.Files)
+// checkExampleRequests sends the example requests and checks their outcomes.
+func checkExampleRequests(ctx context.Context, out io.Writer, client *remote.Client, d *local.Deployment) error {
+	requests, err := check.ReadRequests(sample.Files)
 	if err != nil {
 		return err
 	}
-	return check.Run(ctx, out, client, d.Entries, requests, func(service, body string) int {
-		if book := d.Books[service]; book != nil {
+	return check.Run(ctx, out, client, d.EntryURLs, requests, func(service, body string) int {
+		if book := d.RunLogs[service]; book != nil {
 			return book.Runs(body)
 		}
 		return 0
 	})
 }
 
-func devPrint(out io.Writer, d *local.Deployment) error {
-	for i, e := range d.Entries {
+// printURLs writes the base URLs of the entries and of the platform stand-in.
+func printURLs(out io.Writer, d *local.Deployment) error {
+	for i, e := range d.EntryURLs {
 		if _, err := fmt.Fprintf(out, "entry-%d  %s\n", i+1, e); err != nil {
 			return err
 		}
 	}
-	_, err := fmt.Fprintf(out, "platform %s\n\ntry: foxtailcroft status --entry %s\n", d.PlatformURL, d.Entries[0])
+	_, err := fmt.Fprintf(out, "platform %s\n\ntry: foxtailcroft status --entry %s\n", d.PlatformURL, d.EntryURLs[0])
 	return err
 }
--- a/internal/link/peer/frames_test.go
+++ b/internal/link/peer/frames_test.go
@@ -12,7 +12,7 @@
 
 func (*buffer) Close() error { return nil }
 
-// FuzzFrame checks that no input makes the reader panic or accept a frame larger than MaxFrame.
+// FuzzFrame checks that no input makes the reader panic or accept a frame larger than MaxFrameBytes.
 func FuzzFrame(f *testing.F) {
 	var buf buffer
 	if err := newFrameStream(&buf, nil).WriteObject(Hello{Node: "a", Epoch: 1}); err != nil {
@@ -29,15 +29,15 @@
 		var in buffer
 		in.Write(data)
 		err := newFrameStream(&in, func(byte, []byte) {}).ReadObject(&v)
-		if err == nil && len(v) > MaxFrame {
+		if err == nil && len(v) > MaxFrameBytes {
 			t.Fatalf("accepted a frame of %d bytes, over MaxFrame", len(v))
 		}
 	})
 }
 
 func TestWriteRejectsMessageOverMaxFrame(t *testing.T) {
-	var tooLong *FrameTooLong
-	if err := newFrameStream(&buffer{}, nil).WriteObject(make([]byte, MaxFrame)); !errors.As(err, &tooLong) {
+	var tooLong *FrameTooLongError
+	if err := newFrameStream(&buffer{}, nil).WriteObject(make([]byte, MaxFrameBytes)); !errors.As(err, &tooLong) {
 		t.Fatalf("error = %v, want FrameTooLong", err)
 	}
 }
