--- a/internal/policy/decay/peak_test.go
+++ b/internal/policy/decay/peak_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestPeak(t *testing.T) {
+func TestPeakHalvesInOneHalfLife(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
 	p := Peak{}.Add(400*time.Millisecond, now)
--- a/internal/policy/evict/evict.go
+++ b/internal/policy/evict/evict.go
@@ -6,13 +6,14 @@
 	"time"
 )
 
-// Candidate is an idle item that may be unloaded.
+// Candidate is an idle model or adapter that may be unloaded.
 type Candidate struct {
 	Name  string
 	Bytes int64
 	// ReuseProbability is the probability, 0 to 1, that it is requested within the caller's horizon.
 	ReuseProbability float64
-	ColdStart        time.Duration
+	// ColdStart is the expected time to load it again.
+	ColdStart time.Duration
 	// LastUsed breaks ties, the least recently used first.
 	LastUsed time.Time
 }
--- a/internal/policy/evict/evict_test.go
+++ b/internal/policy/evict/evict_test.go
@@ -15,8 +15,8 @@
 
 func TestChoose(t *testing.T) {
 	const gb = 1 << 30
-	item := func(name string, gigabytes int64, soon float64, cold time.Duration) Candidate {
-		return Candidate{Name: name, Bytes: gigabytes * gb, ReuseProbability: soon, ColdStart: cold}
+	item := func(name string, gigabytes int64, reuse float64, coldStart time.Duration) Candidate {
+		return Candidate{Name: name, Bytes: gigabytes * gb, ReuseProbability: reuse, ColdStart: coldStart}
 	}
 	cases := []struct {
 		name       string
--- a/internal/policy/idle/decide.go
+++ b/internal/policy/idle/decide.go
@@ -8,7 +8,7 @@
 	ColdWait time.Duration
 	// ColdStartPrice is the number of idle accelerator seconds that one second of waiting in a cold start is worth.
 	ColdStartPrice float64
-	// MaxKeepAlive bounds the time that an idle replica stays loaded; KeepAlive takes 0 as DefaultMaxKeepAlive.
+	// MaxKeepAlive bounds the time that an idle replica stays loaded; KeepAlive replaces 0 by DefaultMaxKeepAlive.
 	MaxKeepAlive time.Duration
 }
 
@@ -19,8 +19,8 @@
 const minGapsSeen = 6
 
 // BreakEven returns the idle time whose cost equals that of one cold start,
-// bounded by MaxKeepAlive. Without that bound it costs at most twice the best choice for
-// any gap.
+// bounded by MaxKeepAlive. Without that bound, staying loaded for this time costs
+// at most twice the best choice for any gap.
 func BreakEven(c Costs) time.Duration {
 	return min(c.MaxKeepAlive, time.Duration(c.ColdStartPrice*float64(c.ColdWait)))
 }
@@ -60,7 +60,8 @@
 	return t
 }
 
-// costOfKeeping returns the cost of staying loaded through the first n buckets and no longer.
+// costOfKeeping returns the cost of staying loaded through the first n buckets and
+// no longer: idle accelerator seconds, summed over the weighted gaps.
 func (t *costTable) costOfKeeping(n int) float64 {
 	missed := t.weightBefore[bucketCount] - t.weightBefore[n]
 	return t.idleSecondsBefore[n] + missed*(timeCovered(n).Seconds()+t.coldSeconds)
@@ -81,13 +82,13 @@
 
 // cheapestKeepAlive returns the longest keep-alive time whose cost is within costTolerance of the least.
 func (t *costTable) cheapestKeepAlive() time.Duration {
-	least := t.costOfKeeping(0)
+	leastCost := t.costOfKeeping(0)
 	for n := 1; n <= t.maxBuckets; n++ {
-		least = min(least, t.costOfKeeping(n))
+		leastCost = min(leastCost, t.costOfKeeping(n))
 	}
 	longest := 0
 	for n := 0; n <= t.maxBuckets; n++ {
-		if t.costOfKeeping(n) <= costTolerance*least {
+		if t.costOfKeeping(n) <= costTolerance*leastCost {
 			longest = n
 		}
 	}
--- a/internal/policy/idle/decide_test.go
+++ b/internal/policy/idle/decide_test.go
@@ -12,7 +12,7 @@
 
 func TestMain(m *testing.M) { seeds.RunTests(m, 200) }
 
-func TestAlive(t *testing.T) {
+func TestKeepAlive(t *testing.T) {
 	cases := []struct {
 		name string
 		gaps []time.Duration
--- a/internal/policy/loads/concurrency.go
+++ b/internal/policy/loads/concurrency.go
@@ -5,7 +5,7 @@
 const (
 	// defaultConcurrency is the number of concurrent loads before the first observation.
 	defaultConcurrency = 2
-	// maxConcurrency bounds the estimate.
+	// maxConcurrency bounds the estimate and with it the concurrency that is tried.
 	maxConcurrency = 8
 	// slowdownThreshold is the ratio to the full-speed time above which a load counts as slowed down.
 	slowdownThreshold = 1.15
@@ -23,7 +23,8 @@
 	fullSpeedLoads int
 }
 
-// FromEstimate returns an estimate made by another process, 0 if it has none.
+// FromEstimate returns a Concurrency that continues from the estimate of another
+// process, limited to maxConcurrency; 0 or less stands for no observations.
 func FromEstimate(concurrency int) Concurrency {
 	return Concurrency{concurrency: max(0, min(maxConcurrency, concurrency))}
 }
@@ -38,7 +39,8 @@
 
 // Observe returns the estimate updated with a load that has ended. concurrent is
 // the largest number of loads that ran at once, itself included, and
-// fullSpeedTime the duration it would have alone.
+// fullSpeedTime the duration it would have alone. The estimate doesn't change if
+// fullSpeedTime or concurrent is not positive.
 func (l Concurrency) Observe(concurrent int, took, fullSpeedTime time.Duration) Concurrency {
 	if fullSpeedTime <= 0 || concurrent < 1 {
 		return l
--- a/internal/policy/permit/permit.go
+++ b/internal/policy/permit/permit.go
@@ -27,13 +27,15 @@
 type Request struct {
 	ID      string
 	Adapter bool
-	// Rank is the priority of the request class, 0 the highest. Deadline is the earliest among the waiting requests.
+	// Rank is the priority of the request class, 0 the highest. Deadline is the earliest
+	// deadline among the callers' requests that wait for the load.
 	Rank     int
 	Deadline time.Time
 }
 
+// heldPermit is a granted permit that has not been released.
 type heldPermit struct {
-	ask     Request
+	request Request
 	expires time.Time
 }
 
@@ -48,7 +50,7 @@
 	refilledAt time.Time
 }
 
-// NewLimiter returns a desk with no permits held.
+// NewLimiter returns a limiter that holds no permits and allows one model load at once.
 func NewLimiter(limits Limits, now time.Time) *Limiter {
 	return &Limiter{limits: limits, held: map[string]heldPermit{}, tokens: 1, refilledAt: now}
 }
@@ -56,10 +58,11 @@
 // Enqueue queues a request for a permit, replacing a queued one with the same ID.
 func (d *Limiter) Enqueue(a Request) {
 	d.Cancel(a.ID)
-	at, _ := slices.BinarySearchFunc(d.waiting, a, compareUrgency)
-	d.waiting = slices.Insert(d.waiting, at, a)
+	i, _ := slices.BinarySearchFunc(d.waiting, a, compareUrgency)
+	d.waiting = slices.Insert(d.waiting, i, a)
 }
 
+// compareUrgency orders requests by rank, then by deadline.
 func compareUrgency(a, b Request) int {
 	return cmp.Or(cmp.Compare(a.Rank, b.Rank), a.Deadline.Compare(b.Deadline))
 }
@@ -94,8 +97,9 @@
 	return granted
 }
 
-// RetryIn returns the time until the token bucket allows another model load. It is
-// 0 if nothing is queued or only a returned permit can help.
+// RetryIn returns the time until the token bucket allows another model load, counted
+// from the last call of Grant. It is 0 if nothing is queued or the bucket has a
+// token, so that only a released permit can help.
 func (d *Limiter) RetryIn(time.Time) time.Duration {
 	if len(d.waiting) == 0 || d.tokens >= 1 {
 		return 0
@@ -103,16 +107,18 @@
 	return time.Duration((1 - d.tokens) / d.limits.ModelsPerSecond * float64(time.Second))
 }
 
+// refill adds the tokens since the last refill; the bucket holds at most ConcurrentModels.
 func (d *Limiter) refill(now time.Time) {
 	d.tokens = min(float64(d.limits.ConcurrentModels), d.tokens+now.Sub(d.refilledAt).Seconds()*d.limits.ModelsPerSecond)
 	d.refilledAt = now
 }
 
-// acquire takes a permit of the given kind and reports whether one was free.
+// acquire reports whether the limits allow one more load of the given kind, and
+// takes a token for a model load.
 func (d *Limiter) acquire(adapter bool) bool {
 	models, adapters := 0, 0
 	for _, h := range d.held {
-		if h.ask.Adapter {
+		if h.request.Adapter {
 			adapters++
 		} else {
 			models++
--- a/internal/policy/permit/permit_test.go
+++ b/internal/policy/permit/permit_test.go
@@ -15,15 +15,15 @@
 
 var start = time.Unix(1_000_000, 0)
 
-func ids(asks []Request) []string {
+func ids(requests []Request) []string {
 	var out []string
-	for _, a := range asks {
+	for _, a := range requests {
 		out = append(out, a.ID)
 	}
 	return out
 }
 
-func TestGrantOrder(t *testing.T) {
+func TestGrantsByRankThenDeadline(t *testing.T) {
 	g := NewWithT(t)
 	d := NewLimiter(Limits{ConcurrentModels: 1, ConcurrentAdapters: 2, ModelsPerSecond: 100}, start)
 	d.Enqueue(Request{ID: "first", Rank: 1, Deadline: start.Add(time.Second)})
--- a/internal/policy/pick/bench_test.go
+++ b/internal/policy/pick/bench_test.go
@@ -21,7 +21,7 @@
 
 // completion is the end of a request, whose answer carries the replica's load to its entry.
 type completion struct {
-	at      time.Duration
+	endsAt  time.Duration
 	entry   int
 	replica int
 }
@@ -29,7 +29,7 @@
 type completionHeap []completion
 
 func (e completionHeap) Len() int           { return len(e) }
-func (e completionHeap) Less(i, j int) bool { return e[i].at < e[j].at }
+func (e completionHeap) Less(i, j int) bool { return e[i].endsAt < e[j].endsAt }
 func (e completionHeap) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
 func (e *completionHeap) Push(x any)        { *e = append(*e, x.(completion)) }
 func (e *completionHeap) Pop() any {
@@ -71,7 +71,7 @@
 	now := time.Duration(0)
 	for range simRequests {
 		now += time.Duration(rnd.ExpFloat64() * meanInterarrival)
-		for len(pending) > 0 && pending[0].at <= now {
+		for len(pending) > 0 && pending[0].endsAt <= now {
 			done := heap.Pop(&pending).(completion)
 			busy[done.replica]--
 			view := &views[done.entry][done.replica]
--- a/internal/policy/pick/pick.go
+++ b/internal/policy/pick/pick.go
@@ -11,7 +11,7 @@
 // Replica is an entry's view of one endpoint, based on its last report, which may be out of date.
 type Replica struct {
 	Endpoint string
-	// Loaded is false if the slot would need a cold start.
+	// Loaded is false if the slot needs a cold start.
 	Loaded bool
 	// SameDomain is set if the endpoint is in the entry's own failure domain.
 	SameDomain bool
@@ -33,7 +33,8 @@
 // remotePenalty is the time that a replica in another failure domain must save to be preferred.
 const remotePenalty = 5 * time.Millisecond
 
-// ForecastWait returns the expected time until the replica would start one more request, 0 if it has capacity.
+// ForecastWait returns the expected time until the replica would start one more request,
+// 0 if it is loaded and has capacity.
 func ForecastWait(r Replica) time.Duration {
 	service := r.ServiceTime
 	if service == 0 {
--- a/internal/policy/pick/pick_test.go
+++ b/internal/policy/pick/pick_test.go
@@ -52,7 +52,7 @@
 	g.Expect(seen).To(HaveLen(3))
 }
 
-func TestWiden(t *testing.T) {
+func TestShouldForward(t *testing.T) {
 	cases := []struct {
 		name   string
 		queued int
--- a/internal/policy/place/place_test.go
+++ b/internal/policy/place/place_test.go
@@ -38,8 +38,8 @@
 	}
 }
 
-func withState(e Endpoint, promised int64, near int) Endpoint {
-	e.ReservedBytes, e.CheckpointTier = promised, near
+func withState(e Endpoint, reservedBytes int64, checkpointTier int) Endpoint {
+	e.ReservedBytes, e.CheckpointTier = reservedBytes, checkpointTier
 	return e
 }
 
--- a/internal/policy/retry/budget.go
+++ b/internal/policy/retry/budget.go
@@ -7,14 +7,14 @@
 	MaxAttempts = 6
 	// retriesPerAttempt is the number of retries that each first attempt adds to the budget.
 	retriesPerAttempt = 0.2
-	// maxSavedRetries bounds the budget.
+	// maxSavedRetries bounds the retries saved up in the budget.
 	maxSavedRetries = 50
 )
 
 // Budget is a retry budget: it limits retries to a share of the first attempts,
 // so that retries can't keep an overloaded system overloaded.
 type Budget struct {
-	// Saved is the number of retries left.
+	// Saved is the number of retries left; a retry needs a whole one.
 	Saved float64
 }
 
--- a/internal/policy/retry/share.go
+++ b/internal/policy/retry/share.go
@@ -1,23 +1,26 @@
 package retry
 
 // BudgetShare is one process's part of a retry budget that several processes divide.
-// Retries beyond the saved ones must be earned by first sends, so that in any
-// period all retries are at most the slack plus RetriesPerSend times the first sends.
+// Retries beyond the saved ones must be earned by first attempts, so that in any
+// period the retries of all processes together are at most the slack plus
+// RetriesPerSend times their first attempts.
 type BudgetShare struct {
-	// RetriesPerSend is the number of retries that each first send earns.
+	// RetriesPerSend is the number of retries that each first attempt earns.
 	RetriesPerSend float64
 	// MaxSaved bounds the saved retries.
 	MaxSaved float64
 	saved    float64
 }
 
-// NewBudgetShare returns a full share of a budget with the given slack, divided by the number of processes.
+// NewBudgetShare returns a full share of a budget that the given number of processes
+// divide. ratio is the number of retries per first attempt, and slack the number
+// of retries that the whole budget saves up.
 func NewBudgetShare(ratio, slack float64, processes int) BudgetShare {
 	part := slack / float64(max(1, processes))
 	return BudgetShare{RetriesPerSend: ratio, MaxSaved: part, saved: part}
 }
 
-// Earned returns the share increased by a first send.
+// Earned returns the share increased by a first attempt.
 func (s BudgetShare) Earned() BudgetShare {
 	s.saved = min(s.MaxSaved, s.saved+s.RetriesPerSend)
 	return s
--- a/internal/policy/retry/share_test.go
+++ b/internal/policy/retry/share_test.go
@@ -7,8 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestSharesTogetherStayInTheBudget checks on random first sends and retries at several
-// processes that all retries are at most the slack plus the ratio times the first sends.
+// TestSharesTogetherStayInTheBudget checks on random first attempts and retries at
+// several processes that all retries together are at most the slack plus the ratio
+// times the first attempts.
 func TestSharesTogetherStayInTheBudget(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		g := NewWithT(rt)
@@ -18,19 +19,19 @@
 		for i := range shares {
 			shares[i] = NewBudgetShare(ratio, slack, processes)
 		}
-		first, second := 0, 0
+		firstAttempts, retries := 0, 0
 		for _, send := range rapid.SliceOfN(rapid.IntRange(0, 3*processes-1), 0, 600).Draw(rt, "sends") {
 			i := send % processes
 			if send < processes {
 				shares[i] = shares[i].Earned()
-				first++
+				firstAttempts++
 				continue
 			}
 			var ok bool
 			if shares[i], ok = shares[i].Spent(); ok {
-				second++
+				retries++
 			}
 		}
-		g.Expect(float64(second)).To(BeNumerically("<=", ratio*float64(first)+slack))
+		g.Expect(float64(retries)).To(BeNumerically("<=", ratio*float64(firstAttempts)+slack))
 	})
 }
--- a/internal/policy/score/score.go
+++ b/internal/policy/score/score.go
@@ -9,7 +9,8 @@
 	SameDomain bool
 	// Connected is set if the entry has an open connection to the instance.
 	Connected bool
-	Slots     int
+	// Slots is the number of requests that the instance runs at once, 0 if not known.
+	Slots int
 	// InFlight counts the entry's own requests there, and Reported all requests in the instance's last report.
 	InFlight int
 	Reported int
@@ -24,7 +25,7 @@
 	PauseRisk float64
 	// FailureShare is the recent share of failed requests, from 0 to 1.
 	FailureShare float64
-	// TimeToAnswer is the usual time to the start of an answer, 0 if not known.
+	// TimeToAnswer is the usual time until an answer starts, 0 if not known.
 	TimeToAnswer time.Duration
 }
 
@@ -110,8 +111,8 @@
 // prefillPauseShare is the share of a pause that is left for prefill; the steps themselves take the rest.
 const prefillPauseShare = 0.55
 
-// Best returns the index of the cheapest candidate, -1 if there is none. random
-// returns values from 0 to 1 that break near ties.
+// Best returns the index of the candidate with the lowest CostMs, -1 if there is
+// none. random returns values from 0 to 1 that break near ties.
 func Best(candidates []Candidate, random func() float64) int {
 	best, leastCost := -1, 0.0
 	for i, c := range candidates {
--- a/internal/policy/score/score_test.go
+++ b/internal/policy/score/score_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestRisk(t *testing.T) {
+func TestPauseRisk(t *testing.T) {
 	const allowed = 400 * time.Millisecond
 	cases := []struct {
 		name    string
--- a/internal/policy/speed/speed.go
+++ b/internal/policy/speed/speed.go
@@ -23,7 +23,8 @@
 	samples  int
 }
 
-// Duration returns the estimated prefill time of a number of prompt tokens.
+// Duration returns the estimated prefill time of the number of prompt tokens, by
+// defaultTokensPerMs before the first observation.
 func (r Prefill) Duration(tokens int) time.Duration {
 	return time.Duration(float64(tokens) / (defaultTokensPerMs * math.Exp(r.logRatio)) * float64(time.Millisecond))
 }
--- a/internal/policy/speed/speed_test.go
+++ b/internal/policy/speed/speed_test.go
@@ -8,10 +8,10 @@
 	. "github.com/onsi/gomega"
 )
 
-// TestReadingFindsTheMedian simulates models of three speeds. A fifth of the times
-// is shorter, as with cached prompt prefixes, and a quarter longer, as with
-// other prompts read at the same time.
-func TestReadingFindsTheMedian(t *testing.T) {
+// TestPrefillConvergesToTheMedianSpeed simulates models of three speeds. A fifth of
+// the times is shorter, as with cached prompt prefixes, and a quarter longer, as
+// with concurrent prefills of other prompts.
+func TestPrefillConvergesToTheMedianSpeed(t *testing.T) {
 	cases := []struct {
 		name        string
 		tokensPerMs float64
--- a/internal/policy/swap/cost.go
+++ b/internal/policy/swap/cost.go
@@ -17,7 +17,7 @@
 	costHorizon = 10 * time.Second
 	// minCopyAge is the age below which a copy is not evicted, so that two models don't keep evicting each other.
 	minCopyAge = 1500 * time.Millisecond
-	// maxEvictInFlight bounds the running requests of a copy that may be evicted.
+	// maxEvictInFlight bounds the running requests of a copy that may be evicted, because its unload waits for them.
 	maxEvictInFlight = 2
 )
 
@@ -74,9 +74,9 @@
 	return Action{Server: s.ID, Evict: evict, Load: model.Name, Source: source, ReadyIn: readyIn}, max(1, w.Weight)*readyIn.Seconds() + lossSeconds, true
 }
 
-// blockedRate returns the requests per second that wait while a server is
-// engaged: those for models whose weights only it has, and those for adapters
-// not loaded yet of models that it holds.
+// blockedRate returns the requests per second that wait while a server is busy:
+// those for unloaded models whose weights it alone of the free servers has, and
+// those for adapters not loaded yet of models that it holds.
 func (d *decision) blockedRate(s *Server) float64 {
 	if rate, ok := d.blockedRates[s.ID]; ok {
 		return rate
@@ -148,7 +148,8 @@
 }
 
 // timeToRoom forecasts the time until a server can have room for a model,
-// counting copies that are still too young or too busy to be evicted.
+// counting on copies that are now too young or too busy to be evicted. ok is
+// false if the model doesn't fit even then.
 func (d *decision) timeToRoom(s *Server, model *site.Model) (wait time.Duration, ok bool) {
 	free := d.freeMB(s) - d.adapterReserveMB(s, model)
 	copies := slices.DeleteFunc(slices.Clone(s.Copies), func(c Copy) bool { return d.summary(c.Model).wanted })
@@ -168,7 +169,7 @@
 	return max(0, minCopyAge-c.Age) + unloadTime + time.Duration(c.InFlight)*drainTimePerRequest
 }
 
-// freeMB returns a server's free memory for weights.
+// freeMB returns a server's free memory for weights, negative if its models exceed it.
 func (d *decision) freeMB(s *Server) float64 {
 	free := d.Engine.WeightsMB
 	for _, c := range s.Copies {
@@ -189,7 +190,7 @@
 	return largest * float64(d.Engine.MaxLoadedAdapters)
 }
 
-// sizeMB returns the memory of a model; an unknown model counts as filling the server.
+// sizeMB returns the memory that a model's weights need; an unknown model counts as filling the server.
 func (d *decision) sizeMB(model string) float64 {
 	if m := d.catalogue[model]; m != nil {
 		return m.SizeMB
--- a/internal/policy/swap/index.go
+++ b/internal/policy/swap/index.go
@@ -9,13 +9,14 @@
 
 // index holds per-model facts over all servers, computed once per decision.
 type index struct {
-	models map[string]*modelSummary
+	// summaries holds the summaries of models by name.
+	summaries map[string]*modelSummary
 	// catalogue holds the engine's models by name.
 	catalogue map[string]*site.Model
 	// baselineRate is the minimum request rate, per second, assumed for any
 	// model, because demand shifts to models without recent requests.
 	baselineRate float64
-	// blockedRates caches blockedRate by server.
+	// blockedRates caches the results of blockedRate by server ID.
 	blockedRates map[string]float64
 	// unknownServers counts the servers whose state is not known.
 	unknownServers int
@@ -29,22 +30,23 @@
 	pendingCopies float64
 	// serverCount counts these servers without weighting.
 	serverCount int
-	// firstPendingIn is the forecast time until the first pending copy serves.
+	// firstPendingIn is the forecast time until the first pending copy serves, 0 if there is none.
 	firstPendingIn time.Duration
-	// minPauseRisk is the lowest chance of long pauses (Server.Slow) among these servers, 1 without any.
+	// minPauseRisk is the lowest Server.PauseRisk among these servers, 1 if there are none.
 	minPauseRisk float64
-	// freeWithWeights counts the servers that have the weights in memory or on disk and are not engaged.
+	// freeWithWeights counts the servers that have the weights in memory or on disk and are not busy.
 	freeWithWeights int
-	// hasLocalWeights is set if any server, engaged or not, has the weights in memory or on disk.
+	// hasLocalWeights is set if any server, busy or not, has the weights in memory or on disk.
 	hasLocalWeights bool
-	wanted          bool
+	// wanted is set if requests wait for the model.
+	wanted bool
 }
 
-// demandShiftShare is the share of the demand that may have shifted to other models by the end of a long load.
+// demandShiftShare is the assumed share of the demand that shifts to other models during a long load.
 const demandShiftShare = 0.5
 
 func newIndex(in *Input) index {
-	x := index{models: map[string]*modelSummary{}, blockedRates: map[string]float64{}, catalogue: make(map[string]*site.Model, len(in.Engine.Models))}
+	x := index{summaries: map[string]*modelSummary{}, blockedRates: map[string]float64{}, catalogue: make(map[string]*site.Model, len(in.Engine.Models))}
 	for i := range in.Engine.Models {
 		x.catalogue[in.Engine.Models[i].Name] = &in.Engine.Models[i]
 	}
@@ -62,10 +64,10 @@
 
 // summary returns the summary of a model, creating it if needed.
 func (x *index) summary(model string) *modelSummary {
-	m := x.models[model]
+	m := x.summaries[model]
 	if m == nil {
 		m = &modelSummary{minPauseRisk: 1}
-		x.models[model] = m
+		x.summaries[model] = m
 	}
 	return m
 }
@@ -79,9 +81,9 @@
 	}
 	if s.Loading != "" && !s.holds(s.Loading) {
 		m := x.summary(s.Loading)
-		in := max(s.FreeIn, time.Millisecond)
-		if m.pendingCopies == 0 || in < m.firstPendingIn {
-			m.firstPendingIn = in
+		readyIn := max(s.FreeIn, time.Millisecond)
+		if m.pendingCopies == 0 || readyIn < m.firstPendingIn {
+			m.firstPendingIn = readyIn
 		}
 		m.pendingCopies += s.copyWeight()
 		m.serverCount++
@@ -108,7 +110,7 @@
 	}
 }
 
-// holds reports whether a server has a model.
+// holds reports whether a server has a model loaded.
 func (s *Server) holds(model string) bool {
 	return slices.ContainsFunc(s.Copies, func(c Copy) bool { return c.Model == model })
 }
--- a/internal/policy/swap/swap.go
+++ b/internal/policy/swap/swap.go
@@ -11,7 +11,8 @@
 
 // Copy is one model loaded on a server.
 type Copy struct {
-	Model    string
+	Model string
+	// InFlight is the number of requests running on the copy.
 	InFlight int
 	// Age is the time since the load, and Idle the time since the last use.
 	Age  time.Duration
@@ -24,10 +25,11 @@
 	Copies []Copy
 	// Busy is set while the server carries out an order or its state is not known; it then gets no new order.
 	Busy bool
-	// FreeIn is the forecast time until an engaged server can take an action, negative if not known.
+	// FreeIn is the forecast time until a busy server can take an action, negative if not known.
 	FreeIn time.Duration
-	// Loading is the model that an engaged server is loading, empty if none.
-	Loading  string
+	// Loading is the model that a busy server is loading, empty if none.
+	Loading string
+	// OnDisk and InMemory are the models whose weights are on the server's disk and in its main memory.
 	OnDisk   []string
 	InMemory []string
 	// PauseRisk is the probability, 0 to 1, that a long prompt makes streams on this server pause for too long.
@@ -39,7 +41,7 @@
 	Model string
 	// Weight is the cost of a second of waiting, such as the number of waiting requests.
 	Weight float64
-	// Waited is the waiting time of the oldest request.
+	// Waited is the time that the oldest request has waited.
 	Waited time.Duration
 }
 
@@ -80,7 +82,7 @@
 	Source Source
 	// ReadyIn is the forecast time until the model serves.
 	ReadyIn time.Duration
-	// Deferred marks a deferred load: the server is engaged or has no room yet, and the load is decided again once that changes.
+	// Deferred marks a deferred load: the server is busy or has no room yet, and the load is decided again once that changes.
 	Deferred bool
 }
 
@@ -99,6 +101,7 @@
 // servers' memory or disk first, then loads from the weight store by the waiting
 // they save, then models that no server holds. A wanted model is not loaded from
 // the store if a server that has its weights is forecast to serve it sooner.
+// Decide sorts in.Wants by weight, largest first.
 func Decide(in Input) []Action {
 	slices.SortStableFunc(in.Wants, func(a, b Want) int {
 		return cmp.Or(cmp.Compare(b.Weight, a.Weight), cmp.Compare(a.Model, b.Model))
@@ -146,7 +149,9 @@
 }
 
 // tryGoal adds the cheapest load for a goal if it costs less than the goal's
-// maxCost. The weights come from a source at least as fast as slowest.
+// maxCost. The weights come from a source at least as fast as slowestSource. For
+// a wanted model it adds a deferred load instead if a load from the weight store
+// would be ready later or isn't possible.
 func (d *decision) tryGoal(g loadGoal, slowestSource Source) {
 	if d.chosenModels[g.want.Model] || !g.extraCopy && d.summary(g.want.Model).pendingCopies > 0 {
 		return
@@ -169,7 +174,7 @@
 
 // cheapestLoad returns the cheapest load of a model, its server and its cost in
 // seconds of waiting. The server is nil if none can load the model.
-func (d *decision) cheapestLoad(w Want, slowest Source) (best Action, server *Server, least float64) {
+func (d *decision) cheapestLoad(w Want, slowest Source) (best Action, server *Server, leastCost float64) {
 	model := d.catalogue[w.Model]
 	if model == nil {
 		return Action{}, nil, 0
@@ -180,16 +185,17 @@
 			continue
 		}
 		a, cost, fits := d.loadAt(s, model, w, slowest)
-		if fits && (server == nil || cost < least) {
-			best, server, least = a, s, cost
+		if fits && (server == nil || cost < leastCost) {
+			best, server, leastCost = a, s, cost
 		}
 	}
-	return best, server, least
+	return best, server, leastCost
 }
 
 // deferredLoad returns the soonest load of a model by a server that has its weights
-// but is engaged or lacks room. After maxRoomWait it no longer waits for room,
-// because running requests may take longer than forecast again and again.
+// but is busy or lacks room; ok is false if there is none. After maxRoomWait it no
+// longer waits for room, because running requests may take longer than forecast
+// again and again.
 func (d *decision) deferredLoad(w Want) (best Action, ok bool) {
 	model := d.catalogue[w.Model]
 	if model == nil {
--- a/internal/policy/swap/swap_test.go
+++ b/internal/policy/swap/swap_test.go
@@ -13,7 +13,8 @@
 	"foxtailcroft/internal/core/site"
 )
 
-// catalogue returns an engine like those of the sites: three models fit a server.
+// catalogue returns an engine with the given number of models, of which three fit a
+// server, as in the deployments that this policy is built for.
 func catalogue(models int) *site.Engine {
 	e := &site.Engine{ConcurrentRequests: 64, WeightsMB: 220000, MaxLoadedAdapters: 8, StoreLoadsPerSecond: 2.1}
 	for i := range models {
@@ -25,7 +26,7 @@
 	return e
 }
 
-func TestDecisions(t *testing.T) {
+func TestDecide(t *testing.T) {
 	settled := time.Minute
 	held := func(model string, inFlight int) Copy {
 		return Copy{Model: model, InFlight: inFlight, Age: settled, Idle: settled}
@@ -65,7 +66,7 @@
 			Wants: []Want{{Model: "m5", Weight: 1}}, StoreLoadsLeft: 1, Demand: map[string]Demand{"m0": {Rate: 1, ActiveAdapters: 6}, "m1": {Rate: 1}},
 			Servers: []Server{{ID: "a", Copies: []Copy{held("m0", 0)}}, {ID: "b", Copies: []Copy{held("m1", 0)}}},
 		}, []Action{{Server: "b", Load: "m5", Source: FromStore, ReadyIn: 6 * time.Second}}},
-		{"defers to an engaged server with the weights that is free sooner than a store load ends", Input{
+		{"defers to a busy server with the weights that is free sooner than a store load ends", Input{
 			Wants: []Want{{Model: "m5", Weight: 1}}, StoreLoadsLeft: 4,
 			Servers: []Server{{ID: "a", Busy: true, Loading: "m1", FreeIn: 600 * time.Millisecond, OnDisk: []string{"m5"}}, {ID: "b"}},
 		}, []Action{{Server: "a", Load: "m5", Source: FromDisk, ReadyIn: 1440 * time.Millisecond, Deferred: true}}},
@@ -95,14 +96,14 @@
 				{ID: "a", OnDisk: []string{"m4"}}, {ID: "b", Copies: []Copy{held("m0", 0)}, OnDisk: []string{"m0"}}, {ID: "c", Copies: []Copy{held("m1", 0), held("m2", 0), held("m3", 0)}},
 			},
 		}, []Action{{Server: "b", Load: "m5", Source: FromStore, ReadyIn: 6 * time.Second}, {Server: "a", Load: "m4", Source: FromDisk, ReadyIn: 840 * time.Millisecond}}},
-		{"Keep: no load from the store while the state of a server is not known", Input{
+		{"Conservative: no load from the store while the state of a server is not known", Input{
 			Wants: []Want{{Model: "m5", Weight: 1}}, StoreLoadsLeft: 4, Conservative: true, Servers: []Server{{ID: "a"}, {ID: "b", Busy: true, FreeIn: -1}},
 		}, nil},
-		{"Keep: no load from the store of a model whose weights a server has", Input{
+		{"Conservative: no load from the store of a model whose weights a server has", Input{
 			Wants: []Want{{Model: "m5", Weight: 1}}, StoreLoadsLeft: 4, Conservative: true,
 			Servers: []Server{{ID: "a"}, {ID: "b", Copies: []Copy{held("m0", 0), held("m1", 0), held("m2", 0)}, OnDisk: []string{"m5"}}},
 		}, nil},
-		{"Keep: loads from the store what no server has", Input{
+		{"Conservative: loads from the store a model whose weights no server has", Input{
 			Wants: []Want{{Model: "m5", Weight: 1}}, StoreLoadsLeft: 4, Conservative: true, Servers: []Server{{ID: "a"}},
 		}, []Action{{Server: "a", Load: "m5", Source: FromStore, ReadyIn: 6 * time.Second}}},
 		{"no load from the store while none may begin", Input{
@@ -146,7 +147,7 @@
 				{ID: "a", PauseRisk: 1, InMemory: []string{"m0"}}, {ID: "b", OnDisk: []string{"m0"}},
 			},
 		}, []Action{{Server: "a", Load: "m0", Source: FromMemory, ReadyIn: 400 * time.Millisecond}}},
-		{"Keep: evicts nothing", Input{
+		{"Conservative: evicts nothing", Input{
 			Conservative: true, Wants: []Want{{Model: "m5", Weight: 1}},
 			Servers: []Server{{ID: "a", Copies: []Copy{held("m0", 0), held("m1", 0), held("m2", 0)}, OnDisk: []string{"m5"}}},
 		}, nil},
@@ -159,8 +160,10 @@
 	}
 }
 
-// TestDecisionsStayInBounds checks on random inputs that no server gets two orders
-// or more than fits, and that no wanted or busy model is evicted.
+// TestDecisionsStayInBounds checks on random inputs that no server gets two actions
+// or more models than fit, that no wanted model and no copy with more than
+// maxEvictInFlight running requests is evicted, and that the limit on loads from
+// the weight store holds.
 func TestDecisionsStayInBounds(t *testing.T) {
 	engine := catalogue(12)
 	name := func(i int) string { return fmt.Sprintf("m%d", i) }
@@ -212,10 +215,10 @@
 	})
 }
 
-// TestRareAndBusyModelsTogether simulates the load of the sites: 39 models on
+// TestRareAndBusyModelsTogether simulates a typical deployment: 39 models on
 // servers with memory for 36, two busy models that change over time, and requests
 // for rare models at any time. Most rare requests must find their model loaded
-// within 2.5 s, the response goal of quotes, and busy models must keep enough
+// within 2.5 s, the response goal of a route for quotes, and busy models must keep enough
 // copies, which they lose if the policy doesn't know the demand.
 func TestRareAndBusyModelsTogether(t *testing.T) {
 	g := NewWithT(t)
@@ -334,7 +337,7 @@
 				in.Wants = append(in.Wants, Want{Model: m, Weight: busyRequestsPerSecond})
 			}
 			checks++
-			if x := newDecision(in).summary(m); x.servingCopies+x.pendingCopies < 3 {
+			if summary := newDecision(in).summary(m); summary.servingCopies+summary.pendingCopies < 3 {
 				shortChecks++
 			}
 		}
