--- a/internal/core/audit/record.go
+++ b/internal/core/audit/record.go
@@ -15,8 +15,10 @@
 	// Action is Create, Update, Delete or the name of a decision.
 	Action string
 	Key    string
-	From   int64
-	To     int64
+	// From is the key's revision before the change, 0 if it did not exist, and To the store
+	// revision of the change. Both are 0 for a decision that changes no key, such as an eviction.
+	From int64
+	To   int64
 	// Changes are the changed fields.
 	Changes []Change `json:",omitempty"`
 }
@@ -28,7 +30,8 @@
 	New  string
 }
 
-// Diff returns the fields that differ between two JSON documents, sorted by path.
+// Diff returns the fields that differ between two JSON documents, sorted by path. A
+// document that is not valid JSON counts as empty.
 func Diff(before, after []byte) []Change {
 	a, b := map[string]string{}, map[string]string{}
 	flattenLeaves("", decodeJSON(before), a)
@@ -53,6 +56,7 @@
 	return out
 }
 
+// decodeJSON returns the decoded document, nil if it is not valid JSON.
 func decodeJSON(doc []byte) any {
 	var v any
 	if json.Unmarshal(doc, &v) != nil {
--- a/internal/core/fault/fault.go
+++ b/internal/core/fault/fault.go
@@ -72,9 +72,11 @@
 
 // InvalidField reports a field whose value violates a validation rule.
 type InvalidField struct {
-	Path  string
+	Path string
+	// Value is the invalid value as text; empty if it is missing or has no short form.
 	Value string
-	Rule  string
+	// Rule completes a sentence about the field, such as "must be greater than 0".
+	Rule string
 }
 
 // Error returns the path of the field, its value if there is one, and the rule.
@@ -99,7 +101,8 @@
 	return strings.Join(parts, "; ")
 }
 
-// RevisionConflict reports a conditional write whose expected revision is not the key's current one.
+// RevisionConflict reports a conditional write whose expected revision is not the
+// key's current one; revision 0 stands for a key that does not exist.
 type RevisionConflict struct {
 	Key      string
 	Expected int64
@@ -144,8 +147,8 @@
 	return errors.As(err, target)
 }
 
-// AsRefusal returns the Refusal that err wraps. Any other error becomes EngineFailed with
-// NotRun false, because the request may have been executed.
+// AsRefusal returns the Refusal that err wraps. Any other error becomes a refusal with
+// code EngineFailed and NotRun false, because the request may have been executed.
 func AsRefusal(err error) *Refusal {
 	var r *Refusal
 	if errors.As(err, &r) {
--- a/internal/core/kinds/check.go
+++ b/internal/core/kinds/check.go
@@ -13,8 +13,10 @@
 	"foxtailcroft/internal/core/fault"
 )
 
+// namePattern matches the names of resources.
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]{0,98}[a-z0-9])?$`)
 
+// validate returns the validator of the validate tags, with the project's rule "resourcename" added.
 var validate = sync.OnceValue(func() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	err := v.RegisterValidation("resourcename", func(fl validator.FieldLevel) bool {
--- a/internal/core/kinds/class.go
+++ b/internal/core/kinds/class.go
@@ -12,7 +12,7 @@
 	Patient     Class = "patient"
 )
 
-// ParseClass returns the class of a name; an empty name stands for Interactive.
+// ParseClass returns the class of a name; an empty name stands for Interactive, an unknown one is an error.
 func ParseClass(s string) (Class, error) {
 	switch c := Class(s); c {
 	case "":
--- a/internal/core/kinds/resource.go
+++ b/internal/core/kinds/resource.go
@@ -55,6 +55,7 @@
 	Policy   *PolicySpec  `json:",omitempty"`
 }
 
+// envelope is the JSON form of a Resource.
 type envelope struct {
 	Kind       Kind
 	Name       string
--- a/internal/core/kinds/specs.go
+++ b/internal/core/kinds/specs.go
@@ -36,7 +36,7 @@
 	IdempotentMethods []string `yaml:"IdempotentMethods" validate:"dive,oneof=GET HEAD OPTIONS PUT DELETE POST PATCH"`
 	// ClaimPartitions is the number of claim logs that idempotency keys are partitioned over; 0 means 1.
 	ClaimPartitions int `yaml:"ClaimPartitions" validate:"gte=0,lte=256"`
-	// ClaimRetention is how long an idempotency key is kept.
+	// ClaimRetention is how long an idempotency key is kept; 0 means the default of package claim.
 	ClaimRetention Duration `yaml:"ClaimRetention" validate:"gte=0"`
 	// Concurrency bounds the concurrent calls of one endpoint; 0 means DefaultConcurrency.
 	Concurrency int `yaml:"Concurrency" validate:"gte=0,lte=4096"`
@@ -85,6 +85,7 @@
 	return max(1, s.ClaimPartitions)
 }
 
+// concurrencyOrDefault returns n, or DefaultConcurrency if n is 0.
 func concurrencyOrDefault(n int) int {
 	if n == 0 {
 		return DefaultConcurrency
--- a/internal/core/plan/node.go
+++ b/internal/core/plan/node.go
@@ -18,7 +18,7 @@
 	ServiceEndpoint EndpointType = "service"
 )
 
-// Node is the declaration that a process writes of itself once at its start. Epoch
+// Node is the declaration that a process writes about itself once at its start. Epoch
 // increases with each process that registers under the name; orders to an engine
 // carry it as their fencing token.
 type Node struct {
--- a/internal/core/plan/plan.go
+++ b/internal/core/plan/plan.go
@@ -58,7 +58,7 @@
 	return Slot{}, false
 }
 
-// ActiveSlots returns the slots whose replicas may be loaded.
+// ActiveSlots returns the slots in state Active, in order of preference.
 func (p Plan) ActiveSlots() []Slot {
 	var out []Slot
 	for _, s := range p.Slots {
--- a/internal/core/site/document.go
+++ b/internal/core/site/document.go
@@ -18,7 +18,8 @@
 	Streaming RouteKind = "streaming"
 )
 
-// WeightedService is the weight by which a route sends requests to a service.
+// WeightedService is a service of a route and its weight: requests are split in proportion
+// to the weights, and a negative weight counts as 0.
 type WeightedService struct {
 	Service string
 	Weight  float64
@@ -37,7 +38,8 @@
 	// route has none.
 	MaxTokenGap time.Duration
 	// Priority is the priority that requests to instances carry.
-	Priority    int
+	Priority int
+	// MaxAttempts bounds the attempts of one request, at least 1.
 	MaxAttempts int
 	// Sticky is true if requests of the route name the shared parts of their prompts, so that
 	// they can be sent to an instance that has them cached.
@@ -59,7 +61,7 @@
 	// AdapterMB is the size of one adapter.
 	AdapterMB float64
 	// StoreLoadTime, DiskLoadTime and MemoryLoadTime are the load times from the weight store, a server's
-	// disk and its main memory.
+	// disk and its main memory; 0 if not declared.
 	StoreLoadTime  time.Duration
 	DiskLoadTime   time.Duration
 	MemoryLoadTime time.Duration
@@ -127,7 +129,7 @@
 }
 
 // PickService returns the service for a request, chosen by the hash of its ID in proportion to
-// the weights; "" if the route has no shares.
+// the weights. Without a positive weight it is the last service; "" if the route names none.
 func (r *Route) PickService(hash uint64) string {
 	total := 0.0
 	for _, s := range r.Split {
--- a/internal/core/site/instance.go
+++ b/internal/core/site/instance.go
@@ -12,11 +12,12 @@
 // Instance is a server of a service, as its announcement in the store describes it.
 type Instance struct {
 	InstanceKey
-	Service            string
-	Address            string
-	Domain             string
+	Service string
+	Address string
+	Domain  string
+	// ConcurrentRequests bounds the concurrent requests of the instance.
 	ConcurrentRequests int
-	// Draining is true if the instance is draining.
+	// Draining is true if the instance has announced that it is draining; it gets no new requests or orders.
 	Draining bool
 	// WarmUpLeft is how much longer the instance is slow because it has just started; 0 if it is warm.
 	WarmUpLeft time.Duration
@@ -34,15 +35,17 @@
 
 // ServerReport is the state that a model server reports when queried; it lags by some hundred milliseconds.
 type ServerReport struct {
-	Born     int64
+	Born int64
+	// Sequence is the number of orders that the server has accepted.
 	Sequence int64
 	// Busy is true while a model is being loaded or unloaded.
 	Busy     bool
 	Models   []string
 	Adapters []Target
 	// InMemory and OnDisk are the models whose weights the server has in main memory and on disk.
-	InMemory   []string
-	OnDisk     []string
+	InMemory []string
+	OnDisk   []string
+	// Running and Waiting count requests. UsedTokens is the used part of the key-value cache.
 	Running    int
 	Waiting    int
 	UsedTokens int
@@ -62,8 +65,8 @@
 // OrderOutcome is a model server's answer to an order.
 type OrderOutcome string
 
-// The outcomes of an order. Moved means that another instance answered at the address;
-// Unknown means that the order may have been carried out.
+// The outcomes of an order. OtherInstance means that another instance answered at the
+// address; Unknown means that the order may have been carried out.
 const (
 	Accepted      OrderOutcome = "accepted"
 	AlreadyDone   OrderOutcome = "holds already"
--- a/internal/core/site/request.go
+++ b/internal/core/site/request.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// PromptPart is a piece of a prompt that several requests have in common.
+// PromptPart is a part of a prompt that several requests share; Tokens is its length.
 type PromptPart struct {
 	ID     string
 	Tokens int
@@ -23,7 +23,8 @@
 	LastEventID string
 }
 
-// ServerLoad is the request load that a server reports with an answer.
+// ServerLoad is the load that a server reports with an answer: its running and waiting
+// requests, and the bound on concurrent ones.
 type ServerLoad struct {
 	Running            int
 	Waiting            int
--- a/internal/core/view/view.go
+++ b/internal/core/view/view.go
@@ -102,6 +102,8 @@
 	return kinds.PolicySpec{ColdStartPrice: defaultColdStartPrice}
 }
 
+// defaultColdStartPrice is the PolicySpec.ColdStartPrice without a declared policy, in idle
+// accelerator seconds per second of cold-start wait.
 const defaultColdStartPrice = 30
 
 // Models returns the declared models by name.
@@ -241,7 +243,7 @@
 	}
 }
 
-// cloneParsed copies the parsed maps of the changed kinds, which other views share.
+// cloneParsed copies the parsed maps of the changed kinds, because other views share them.
 func (v *View) cloneParsed(changedKinds map[string]bool) {
 	if changedKinds[string(kinds.Model)] {
 		v.models = maps.Clone(v.models)
@@ -264,8 +266,8 @@
 	}
 }
 
-// updateParsed updates the parsed maps with one entry; if its value cannot be decoded,
-// the last one that could stays in force.
+// updateParsed updates the parsed maps with one entry. If its value cannot be decoded,
+// the key's last decodable value stays in force.
 func (v *View) updateParsed(e Entry) {
 	kind, name, _ := strings.Cut(e.Key, "/")
 	switch kind {
@@ -297,8 +299,9 @@
 	}
 }
 
-// storeParsed decodes the entry's value into a parsed map, or deletes it there; it reports
-// whether the value could be decoded.
+// storeParsed decodes the entry's value into a parsed map, or removes the name there if
+// the entry is deleted. It returns false, and leaves the map as it is, if the value
+// cannot be decoded.
 func storeParsed[T any](m map[string]T, name string, e Entry) bool {
 	if e.Deleted {
 		delete(m, name)
--- a/internal/core/view/view_test.go
+++ b/internal/core/view/view_test.go
@@ -41,7 +41,7 @@
 }
 
 // TestViewRevisionsNeverDecrease applies full and partial deltas of sources at newer and
-// older revisions, and compares every key with the history after each of them.
+// older revisions, and compares every key with the history after each delta.
 func TestViewRevisionsNeverDecrease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		entries := drawHistory(t)
--- a/internal/policy/swap/swap_test.go
+++ b/internal/policy/swap/swap_test.go
@@ -337,7 +337,7 @@
 				in.Wants = append(in.Wants, Want{Model: m, Weight: busyRequestsPerSecond})
 			}
 			checks++
-			if summary := newDecision(in).summary(m); summary.servingCopies+summary.pendingCopies < 3 {
+			if copies := newDecision(in).summary(m); copies.servingCopies+copies.pendingCopies < 3 {
 				shortChecks++
 			}
 		}
