--- a/internal/node/front/callers.go
+++ b/internal/node/front/callers.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// headerTimeout bounds reading a request's header; the configured limit is not applied here.
+	// headerTimeout bounds the time for reading a request's header; the configured limit is not applied here.
 	headerTimeout = 5 * time.Second
-	// maxHeaderBytes bounds a request's header; the configured limit, a lower one, is not applied here.
+	// maxHeaderBytes bounds the size of a request's header; the configured limit, a lower one, is not applied here.
 	maxHeaderBytes = 64 << 10
 	// idleTimeoutMargin is added to the configured idle timeout, so that a request
 	// sent just before the timeout still finds its connection open.
@@ -56,7 +56,7 @@
 type callerConn struct {
 	net.Conn
 	server *callerServer
-	// inRequest is set while a request of the connection is served.
+	// inRequest is set while the connection serves a request.
 	inRequest bool
 	closed    bool
 }
@@ -90,7 +90,7 @@
 	return &callerConn{Conn: conn, server: l.server}, nil
 }
 
-// Close closes the connection, unless a request of it is being served and the server has not stopped.
+// Close closes the connection, unless it is serving a request and the server has not stopped.
 func (k *callerConn) Close() error {
 	k.server.mu.Lock()
 	if k.inRequest && k.server.phase != stopped {
--- a/internal/node/front/callers_test.go
+++ b/internal/node/front/callers_test.go
@@ -58,7 +58,9 @@
 	g.Expect(conn.closed).To(BeTrue())
 }
 
-func TestStopPhases(t *testing.T) {
+// TestStoppingClosesConnectionsBeforeRejectingRequests checks both stages of stopping:
+// requests are first served with Connection: close, and aborted after the drain.
+func TestStoppingClosesConnectionsBeforeRejectingRequests(t *testing.T) {
 	g := NewWithT(t)
 	c, conn, served := newCallerServerWithConn()
 	w, _ := serveRequest(c, conn)
--- a/internal/node/front/deployment_test.go
+++ b/internal/node/front/deployment_test.go
@@ -17,7 +17,7 @@
 
 func TestMain(m *testing.M) { seeds.RunTests(m, 30) }
 
-// deployment is a randomly drawn deployment; its bounds, sizes and names differ from those of the existing ones.
+// deployment is a randomly drawn deployment; its bounds, sizes and names differ from those of existing deployments.
 type deployment struct {
 	fronts       int
 	zones        int
--- a/internal/node/front/front.go
+++ b/internal/node/front/front.go
@@ -64,10 +64,10 @@
 type Front struct {
 	settings       conf.Front
 	follower       *follow.Follower
-	election       *sched.Candidate
+	candidate      *sched.Candidate
 	planner        *sched.Planner
 	peers          *peers.Client
-	relay          *proxy.Server
+	proxy          *proxy.Server
 	pool           *conns.Pool
 	mux            *peer.Mux
 	hello          func() peer.Hello
@@ -82,25 +82,25 @@
 	log := o.Log.Sugar()
 	settings := o.Settings
 	follower := follow.New(settings.Node.Name, o.Store, o.Dialect, o.StoreLayout, follow.Delays{
-		ReturnGrace: settings.Bounds.Returning, BatchDelay: min(settings.Bounds.InForce, settings.Bounds.Drain) * gatherTenths / 10,
+		ReturnGrace: settings.Bounds.Returning, BatchDelay: min(settings.Bounds.InForce, settings.Bounds.Drain) * batchDelayTenths / 10,
 	}, log.Named("Follow"))
 	pool, closePool := conns.New(o.DialInstance, o.Metrics)
-	election := sched.NewCandidate(sched.CandidateOptions{
+	candidate := sched.NewCandidate(sched.CandidateOptions{
 		Name: settings.Node.Name, Address: settings.Listen.Peers, MinLeaseTTL: settings.Bounds.MinLease, CPUShare: settings.Processor, SinceBoot: clock.SinceBoot,
 	}, o.Store, follower.State, log.Named("Lead"))
 	planner, closePlanner := sched.New(sched.Settings{
 		Node: settings.Node.Name, ChecksFence: settings.ChecksFence, LoadWindow: settings.Bounds.LoadWindow, HandoverDelay: settings.Bounds.Lease,
-	}, election, follower.State, pool, o.Dialect, o.Metrics, log.Named("Planner"))
+	}, candidate, follower.State, pool, o.Dialect, o.Metrics, log.Named("Planner"))
 	mux := peer.NewMux()
 	hello := func() peer.Hello { return peer.Hello{Node: settings.Node.Name} }
 	links, closeLinks := peer.NewPool(o.DialPeer, mux, hello)
-	frontPeers := peers.New(election.Self, links, mux, follower, settings.Seeds, planner)
+	frontPeers := peers.New(candidate.Self, links, mux, follower, settings.Seeds, planner)
 	follower.SetPeers(frontPeers)
 	f := &Front{
-		settings: settings, follower: follower, election: election, planner: planner, peers: frontPeers, pool: pool, mux: mux, hello: hello, options: o, log: log,
-		relay: proxy.New(settings, follower, pool, o.Dialect, frontPeers, o.Metrics, log.Named("Relay")),
+		settings: settings, follower: follower, candidate: candidate, planner: planner, peers: frontPeers, pool: pool, mux: mux, hello: hello, options: o, log: log,
+		proxy: proxy.New(settings, follower, pool, o.Dialect, frontPeers, o.Metrics, log.Named("Relay")),
 	}
-	f.callerServer = newCallerServer(f.relay, follower)
+	f.callerServer = newCallerServer(f.proxy, follower)
 	return f, func() {
 		closeLinks()
 		closePlanner()
@@ -109,9 +109,9 @@
 }
 
 const (
-	// gatherTenths is the part, in tenths, of the shorter time limit for configurations and
-	// leaving servers to take effect in which the follower batches changes.
-	gatherTenths = 3
+	// batchDelayTenths is the time for which the follower batches changes, in tenths of the
+	// shorter of two time limits: for configurations and for leaving servers to take effect.
+	batchDelayTenths = 3
 	// minUsageInterval is the shortest interval of a front's usage reports to the planner.
 	minUsageInterval = 500 * time.Millisecond
 	// usageIntervalPerFront is the shortest mean time between two reports that the planner receives from all fronts.
@@ -135,7 +135,7 @@
 	t.KeepRunning("Reread", f.follower.RunReread)
 	t.KeepRunning("Peers", f.follower.RunPeerPoll)
 	t.KeepRunning("Missing", f.follower.RunMissingCheck)
-	t.KeepRunning("Lead", f.election.Run)
+	t.KeepRunning("Lead", f.candidate.Run)
 	t.KeepRunning("Planner", f.planner.Run)
 	t.KeepRunning("Reports", f.planner.RunReports)
 	t.KeepRunning("Uses", f.reportUsage)
@@ -161,12 +161,12 @@
 			continue
 		}
 		isNewPlanner := planner.FencingToken != reportedFence
-		usage := f.relay.TakeUsage(isNewPlanner)
+		usage := f.proxy.TakeUsage(isNewPlanner)
 		reportedFence = planner.FencingToken
 		if !isNewPlanner && len(usage.Uses) == 0 && len(usage.Asked) == 0 && len(usage.Pauses) == 0 {
 			continue
 		}
-		board, err := f.peers.ReportUsage(ctx, usage)
+		status, err := f.peers.ReportUsage(ctx, usage)
 		if err != nil {
 			f.log.Debugw("usage report to the planner failed; sending the next one after the usual interval", "Error", err.Error())
 			if isNewPlanner {
@@ -174,8 +174,8 @@
 			}
 			continue
 		}
-		f.relay.RecordLoads(board.Loads)
-		f.planner.InheritStatus(board)
+		f.proxy.RecordLoads(status.Loads)
+		f.planner.InheritStatus(status)
 	}
 }
 
--- a/internal/node/front/front_test.go
+++ b/internal/node/front/front_test.go
@@ -108,7 +108,7 @@
 "limits":{"bodyBytes":1000000,"idleTimeoutMs":15000}}`, version, route))
 }
 
-// startServer starts and announces a server of a service that has models loaded.
+// startServer starts and announces a server of a service with the given models loaded.
 func (r *harness) startServer(id, service string, models ...string) *fake.Server {
 	var s *fake.Server
 	write := func() { r.writeKey(s.Key(), string(s.Announcement())) }
--- a/internal/node/front/ready.go
+++ b/internal/node/front/ready.go
@@ -49,10 +49,10 @@
 func (f *Front) Drain(ctx context.Context) {
 	deadline := time.Now().Add(f.settings.Bounds.Grace - f.settings.Bounds.Grace/exitGraceDivisor)
 	f.lifecycleState.draining.Store(true)
-	f.relay.SetStopTime(deadline)
+	f.proxy.SetStopTime(deadline)
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
-	f.election.Resign(ctx)
+	f.candidate.Resign(ctx)
 	f.callerServer.closeAfterAnswers()
 	sleep.For(ctx, min(unreadyNoticeTime, time.Until(deadline)/2))
 	if err := f.callerServer.drain(ctx); err != nil {
