--- a/internal/front/peers/peers.go
+++ b/internal/front/peers/peers.go
@@ -19,8 +19,8 @@
 	methodUse   = "Use"
 )
 
-// callTimeout bounds a call to another front. A RequestInstances call may take its Answer time
-// on top.
+// callTimeout bounds a call to another front. RequestInstances adds the time that the
+// planner may take to reply.
 const callTimeout = 800 * time.Millisecond
 
 // InstanceRequest asks the planner for instances that can serve a model or adapter.
@@ -43,16 +43,18 @@
 	Waiting bool
 	// ReadyIn is the expected time until the target is loaded; 0 if unknown.
 	ReadyIn time.Duration
-	Reason  string
+	// Reason says why there are no instances; empty if there are some.
+	Reason string
 }
 
-// TargetUsage is one front's use of a model or adapter at an instance since its last report.
+// TargetUsage is one front's use of a model or adapter at an instance: the requests sent
+// since its last report, and those in flight.
 type TargetUsage struct {
 	Instance site.InstanceKey
 	Target   site.Target
 	Requests int
 	InFlight int
-	// Work is the time that the server spends on the prompts of these requests.
+	// Work is the expected prefill time of the prompts that were sent.
 	Work time.Duration
 }
 
@@ -82,6 +84,7 @@
 // ServerLoad is the load of an instance in its last report.
 type ServerLoad struct {
 	Instance site.InstanceKey
+	// Requests is the number of running and waiting requests.
 	Requests int
 	// Age is the age of the report.
 	Age time.Duration
