--- a/internal/front/proxy/call.go
+++ b/internal/front/proxy/call.go
@@ -222,7 +222,8 @@
 	c.endWithError("failed", status, reason, 0)
 }
 
-// endWithError ends the request with a status and a JSON error, or aborts it if its stream has begun.
+// endWithError ends the request with a status and a JSON error, or aborts it if its
+// stream has begun; a zero retryAfter sends no Retry-After.
 func (c *call) endWithError(outcome string, status int, reason string, retryAfter time.Duration) {
 	if c.stream != nil {
 		// Only events may follow the events already sent, so the connection is aborted for the caller to see the failure.
--- a/internal/front/proxy/history_test.go
+++ b/internal/front/proxy/history_test.go
@@ -91,8 +91,8 @@
 	if err != nil {
 		return
 	}
-	one := fmt.Sprintf("HTTP/1.1 200 OK\r\nRequest-Id: %s\r\nServer-Seal: s\r\nContent-Length: %d\r\n\r\n%s", id, len(answer), answer)
-	_, _ = io.WriteString(conn, one+one)
+	response := fmt.Sprintf("HTTP/1.1 200 OK\r\nRequest-Id: %s\r\nServer-Seal: s\r\nContent-Length: %d\r\n\r\n%s", id, len(answer), answer)
+	_, _ = io.WriteString(conn, response+response)
 	time.Sleep(50 * time.Millisecond)
 	_ = conn.Close()
 }
@@ -146,14 +146,14 @@
 }
 
 // TestOrderCountIsLinearizable lets concurrent callers order and read through one
-// relay while servers reject requests, lose answers, answer twice, fail and run
+// proxy while servers reject requests, lose answers, answer twice, fail and run
 // requests late; callers retry after refusals. It guards against orders that run
 // twice, or run although they were refused.
 func TestOrderCountIsLinearizable(t *testing.T) {
 	const callers, callsPerCaller, histories = 4, 12, 8
 	firstSeed := seeds.FromEnvironment()
 	for seed := firstSeed; seed < firstSeed+histories; seed++ {
-		withRelay(t, 3, func(r *harness) {
+		withProxy(t, 3, func(r *harness) {
 			service := &orderService{random: rand.New(rand.NewPCG(seed, 1))}
 			for i := range 3 {
 				address := fmt.Sprintf("10.0.1.%d:80", i)
--- a/internal/front/proxy/log_test.go
+++ b/internal/front/proxy/log_test.go
@@ -28,7 +28,7 @@
 // These tests check the procedures of docs/OPERATIONS.md: the log lines of a request's id alone must show the cause of its failure.
 
 func TestLogShowsUnloadedModel(t *testing.T) {
-	withRelay(t, 1, func(r *harness) {
+	withProxy(t, 1, func(r *harness) {
 		for id, in := range r.state.Instances {
 			in.Models = nil
 			r.state.Instances[id] = in
@@ -41,7 +41,7 @@
 }
 
 func TestLogShowsUnknownOutcomeAfterLostAnswer(t *testing.T) {
-	withRelay(t, 1, func(r *harness) {
+	withProxy(t, 1, func(r *harness) {
 		r.setFaults(fake.Faults{LostResponses: 1})
 		r.send(r.t.Context(), "/unsafe/x", "id-1")
 		lines := r.logLines("id-1")
@@ -54,7 +54,7 @@
 }
 
 func TestLogShowsLateFirstEventOfSlowServer(t *testing.T) {
-	withRelay(t, 1, func(r *harness) {
+	withProxy(t, 1, func(r *harness) {
 		r.setFaults(fake.Faults{FirstByteDelay: 1500 * time.Millisecond})
 		r.send(r.t.Context(), "/stream/x", "id-1")
 		end := r.logLines("id-1")[0]
--- a/internal/front/proxy/proxy_test.go
+++ b/internal/front/proxy/proxy_test.go
@@ -25,14 +25,14 @@
 	"foxtailcroft/test/memnet"
 )
 
-// harness is a relay in front of mimicked servers in one synctest bubble.
+// harness is a proxy in front of simulated servers in one synctest bubble.
 type harness struct {
 	t            *testing.T
 	g            *WithT
 	net          *memnet.Network
 	stopServer   map[string]func()
 	executions   *fake.ExecutionLog
-	relay        *Server
+	proxy        *Server
 	servers      []*fake.Server
 	state        *follow.State
 	plannerCalls int
@@ -47,9 +47,9 @@
 	return peers.InstanceReply{Reason: "nowhere", ReadyIn: 2 * time.Second}, nil
 }
 
-// withRelay runs a test against n servers of each service, of which those of llm
+// withProxy runs a test with a proxy in front of n servers of each service, of which those of llm
 // hold model m; routes begin with /safe/, /unsafe/, /resume/ and /stream/.
-func withRelay(t *testing.T, n int, test func(*harness)) {
+func withProxy(t *testing.T, n int, test func(*harness)) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &harness{t: t, g: NewWithT(t), net: memnet.New(), stopServer: map[string]func(){}, executions: &fake.ExecutionLog{}, log: &bytes.Buffer{}}
 		route := func(prefix string, kind site.RouteKind, attempts int, resumable bool, service string) site.Route {
@@ -78,7 +78,7 @@
 		log, err := logs.New(r.log, "info", "f")
 		r.g.Expect(err).NotTo(HaveOccurred())
 		settings := conf.Front{Node: conf.Node{Name: "f"}, Retry: conf.RetryBudget{Ratio: 0.2, Slack: 58}}
-		r.relay = New(settings, r, pool, platform.Dialect{}, r, metrics.NewSet(), log.Sugar())
+		r.proxy = New(settings, r, pool, platform.Dialect{}, r, metrics.NewSet(), log.Sugar())
 		defer r.group.Wait()
 		defer r.net.Close()
 		defer closePool()
@@ -109,7 +109,7 @@
 	}
 }
 
-// send serves a request by the relay; aborted is true if the answer was cut off.
+// send serves a request by the proxy; aborted is true if the answer was cut off.
 func (r *harness) send(ctx context.Context, path, id string) (w *httptest.ResponseRecorder, aborted bool) {
 	method, body := http.MethodPost, "order"
 	if strings.HasPrefix(path, "/safe/") {
@@ -132,7 +132,7 @@
 			aborted = true
 		}
 	}()
-	r.relay.ServeHTTP(w, req)
+	r.proxy.ServeHTTP(w, req)
 	return w, false
 }
 
@@ -149,20 +149,20 @@
 		runs    int
 		aborted bool
 	}{
-		{"safe", "/safe/x", fake.Faults{}, 200, "served", 1, false},
-		{"unsafe", "/unsafe/x", fake.Faults{}, 200, "served", 1, false},
-		{"stream", "/stream/x", fake.Faults{}, 200, completeStream, 1, false},
-		{"no route", "/none/x", fake.Faults{}, 404, "", 0, false},
+		{"safe: answered once", "/safe/x", fake.Faults{}, 200, "served", 1, false},
+		{"unsafe: answered once", "/unsafe/x", fake.Faults{}, 200, "served", 1, false},
+		{"stream: passed on completely", "/stream/x", fake.Faults{}, 200, completeStream, 1, false},
+		{"no route: not found", "/none/x", fake.Faults{}, 404, "", 0, false},
 		{"safe, every answer lost: sent twice", "/safe/x", fake.Faults{LostResponses: 9}, 502, "", 2, false},
 		{"unsafe, answer lost: never resent", "/unsafe/x", fake.Faults{LostResponses: 9}, 502, "", 1, false},
 		{"stream, answer lost: never resent", "/stream/x", fake.Faults{LostResponses: 9}, 502, "", 1, false},
 		{"unsafe, all servers full: refused", "/unsafe/x", fake.Faults{RejectedAsFull: 99}, 503, "", 0, false},
 		{"unsafe, truncated answer: never resent", "/unsafe/x", fake.Faults{TruncatedResponses: 9}, 502, "", 1, false},
 		{"safe, truncated answers: sent twice", "/safe/x", fake.Faults{TruncatedResponses: 9}, 502, "", 2, false},
-		{"answer without a length", "/unsafe/x", fake.Faults{Unframed: true}, 200, "served", 1, false},
+		{"answer without a length is passed on", "/unsafe/x", fake.Faults{Unframed: true}, 200, "served", 1, false},
 		{"second answer on the same connection is ignored", "/unsafe/x", fake.Faults{Extra: true}, 200, "served", 1, false},
-		{"unsigned", "/unsafe/x", fake.Faults{Unsigned: true}, 502, "", 1, false},
-		{"encoded", "/unsafe/x", fake.Faults{Encoded: true}, 502, "", 1, false},
+		{"unsigned answer is rejected", "/unsafe/x", fake.Faults{Unsigned: true}, 502, "", 1, false},
+		{"encoded answer is rejected", "/unsafe/x", fake.Faults{Encoded: true}, 502, "", 1, false},
 		{"unsigned stream is rejected", "/stream/x", fake.Faults{Unsigned: true}, 502, "", 1, false},
 		{"unsafe, server error is passed on", "/unsafe/x", fake.Faults{FailedResponses: 9}, 500, "", 1, false},
 		{"safe, all servers fail: last error is passed on", "/safe/x", fake.Faults{FailedResponses: 9}, 500, "", 2, false},
@@ -171,7 +171,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			withRelay(t, 3, func(r *harness) {
+			withProxy(t, 3, func(r *harness) {
 				r.setFaults(c.faults)
 				w, aborted := r.send(r.t.Context(), c.path, "id-1")
 				r.g.Expect(aborted).To(Equal(c.aborted))
@@ -210,12 +210,12 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			withRelay(t, 2, func(r *harness) {
+			withProxy(t, 2, func(r *harness) {
 				// The first server of each service fails once; it is nearer, so that requests choose it.
 				for _, s := range r.servers[:2] {
 					s.SetFaults(c.faults)
 				}
-				r.relay.settings.Node.Domain = "a"
+				r.proxy.settings.Node.Domain = "a"
 				for _, id := range []string{"plain-2", "llm-2"} {
 					in := r.state.Instances[id]
 					in.Domain = "b"
@@ -241,7 +241,7 @@
 }
 
 func TestResumeSendsLastCompleteEventID(t *testing.T) {
-	withRelay(t, 2, func(r *harness) {
+	withProxy(t, 2, func(r *harness) {
 		r.setFaults(fake.Faults{TruncatedResponses: 1, TruncateAfterEvent: 3})
 		w, aborted := r.send(r.t.Context(), "/resume/x", "id-1")
 		r.g.Expect(aborted).To(BeTrue(), "both servers truncate the stream, and the route allows two attempts")
@@ -255,7 +255,7 @@
 // TestTimeoutDuringResumedStreamAddsNothing truncates a stream and lets the second
 // server hang until the deadline: nothing may follow the events already sent.
 func TestTimeoutDuringResumedStreamAddsNothing(t *testing.T) {
-	withRelay(t, 2, func(r *harness) {
+	withProxy(t, 2, func(r *harness) {
 		r.setFaults(fake.Faults{TruncatedResponses: 1, TruncateAfterEvent: 2, HangResumed: true})
 		w, aborted := r.send(r.t.Context(), "/resume/x", "id-1")
 		r.g.Expect(aborted).To(BeTrue())
@@ -264,7 +264,7 @@
 }
 
 func TestRefusedConnectionFallsBackToAnotherInstance(t *testing.T) {
-	withRelay(t, 3, func(r *harness) {
+	withProxy(t, 3, func(r *harness) {
 		r.stopServer["10.0.0.1:80"]()
 		r.stopServer["10.0.0.2:80"]()
 		w, _ := r.send(r.t.Context(), "/unsafe/x", "id-1")
@@ -274,7 +274,7 @@
 }
 
 func TestUnloadedModelIsRefusedAtOnceWithRetryAfter(t *testing.T) {
-	withRelay(t, 1, func(r *harness) {
+	withProxy(t, 1, func(r *harness) {
 		for id, in := range r.state.Instances {
 			in.Models = nil
 			r.state.Instances[id] = in
@@ -289,18 +289,18 @@
 }
 
 func TestCallerDisconnectStopsTheServer(t *testing.T) {
-	withRelay(t, 1, func(r *harness) {
+	withProxy(t, 1, func(r *harness) {
 		ctx, cancel := context.WithTimeout(r.t.Context(), 50*time.Millisecond)
 		defer cancel()
 		_, aborted := r.send(ctx, "/stream/x", "id-1")
 		r.g.Expect(aborted).To(BeTrue())
 		time.Sleep(500 * time.Millisecond)
-		r.g.Expect(r.servers[1].RunningRequests()).To(BeZero(), "the relay closes the connection, which stops the server")
+		r.g.Expect(r.servers[1].RunningRequests()).To(BeZero(), "the proxy closes the connection, which stops the server")
 	})
 }
 
 func TestRouteTimeoutIsEnforced(t *testing.T) {
-	withRelay(t, 1, func(r *harness) {
+	withProxy(t, 1, func(r *harness) {
 		r.state.Document.Routes[1].Timeout = time.Second
 		r.setFaults(fake.Faults{HangResponses: true})
 		began := time.Now()
@@ -311,7 +311,7 @@
 }
 
 func TestMissingConfigurationIsRefusedAsUnavailable(t *testing.T) {
-	withRelay(t, 1, func(r *harness) {
+	withProxy(t, 1, func(r *harness) {
 		r.state.Document = nil
 		w, _ := r.send(r.t.Context(), "/unsafe/x", "id-1")
 		r.g.Expect(w.Code).To(Equal(503), "a front without a configuration does not know its routes, so it must not answer 404")
@@ -320,7 +320,7 @@
 }
 
 func TestLargeBodyIsRefused(t *testing.T) {
-	withRelay(t, 1, func(r *harness) {
+	withProxy(t, 1, func(r *harness) {
 		r.state.Document.Limits.BodyBytes = 3
 		w, _ := r.send(r.t.Context(), "/unsafe/x", "id-1")
 		r.g.Expect(w.Code).To(Equal(413))
@@ -329,7 +329,7 @@
 }
 
 func TestResendsStayWithinTheBudget(t *testing.T) {
-	withRelay(t, 3, func(r *harness) {
+	withProxy(t, 3, func(r *harness) {
 		r.setFaults(fake.Faults{FailedResponses: 1 << 20})
 		const requests = 200
 		sends := 0
@@ -338,7 +338,7 @@
 			r.send(r.t.Context(), "/safe/x", id)
 			sends += len(r.executions.Runs(id))
 		}
-		budget := r.relay.settings.Retry
+		budget := r.proxy.settings.Retry
 		r.g.Expect(float64(sends - requests)).To(BeNumerically("<=", budget.Ratio*requests+budget.Slack/budgetSharesPerFront))
 		r.g.Expect(sends).To(BeNumerically(">", requests))
 	})
--- a/internal/front/proxy/raw_test.go
+++ b/internal/front/proxy/raw_test.go
@@ -69,8 +69,8 @@
 		for n := range rapid.IntRange(1, 5).Draw(rt, "requests") {
 			sent = append(sent, drawRawRequest(rt, n))
 		}
-		withRelay(t, 2, func(r *harness) {
-			r.net.Serve("front:1", r.relay)
+		withProxy(t, 2, func(r *harness) {
+			r.net.Serve("front:1", r.proxy)
 			conn, err := r.net.Dial(r.t.Context(), "front:1")
 			r.g.Expect(err).NotTo(HaveOccurred())
 			defer conn.Close()
@@ -117,8 +117,8 @@
 
 // TestIncompleteBodyIsAnsweredInTime sends half a body and expects a refusal at the deadline.
 func TestIncompleteBodyIsAnsweredInTime(t *testing.T) {
-	withRelay(t, 1, func(r *harness) {
-		r.net.Serve("front:1", r.relay)
+	withProxy(t, 1, func(r *harness) {
+		r.net.Serve("front:1", r.proxy)
 		conn, err := r.net.Dial(r.t.Context(), "front:1")
 		r.g.Expect(err).NotTo(HaveOccurred())
 		defer conn.Close()
--- a/internal/front/proxy/server.go
+++ b/internal/front/proxy/server.go
@@ -30,8 +30,9 @@
 	DecodeRequest(h http.Header) site.RequestInfo
 	// IsEndToEnd reports whether a header is end-to-end even if a Connection header names it.
 	IsEndToEnd(name string) bool
-	// SetRequestHeaders sets the headers of a request to an instance; an empty lastEvent resumes nothing.
-	SetRequestHeaders(h http.Header, instance string, left time.Duration, priority int, lastEvent string)
+	// SetRequestHeaders sets the headers of a request to an instance; remaining is the
+	// time until the deadline, and an empty lastEvent resumes nothing.
+	SetRequestHeaders(h http.Header, instance string, remaining time.Duration, priority int, lastEvent string)
 	// MatchesRequest reports whether an answer belongs to the request with an id.
 	MatchesRequest(h http.Header, id string) bool
 	// IsSigned reports whether an answer has the signature of an instance and no content encoding.
@@ -40,8 +41,9 @@
 	ReportsNotRun(status int, h http.Header) bool
 	// DecodeLoad decodes the instance's load; false if the answer has none.
 	DecodeLoad(h http.Header) (site.ServerLoad, bool)
-	// SetRefusalHeaders sets the headers of the front's own refusals and errors.
-	SetRefusalHeaders(h http.Header, id string, after time.Duration)
+	// SetRefusalHeaders sets the headers of the front's own refusals and errors; a zero
+	// retryAfter sends no Retry-After.
+	SetRefusalHeaders(h http.Header, id string, retryAfter time.Duration)
 }
 
 // InstanceFinder asks the planner for instances that can serve a model.
--- a/internal/front/proxy/tracker.go
+++ b/internal/front/proxy/tracker.go
@@ -89,7 +89,8 @@
 }
 
 // beginRequest records a request that is sent, and returns the functions that record
-// the beginning of its answer and its end; buffered answers, those that are not streamed, count in meanAnswerTime.
+// the beginning of its answer and its end. The answer counts in meanAnswerTime if
+// buffered is set, that is, if it is not streamed.
 func (t *instanceTracker) beginRequest(k site.InstanceKey, r *site.RequestInfo, buffered bool) (answered func(), ended func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -215,7 +216,8 @@
 	delete(t.holders[target], k)
 }
 
-// setHolders replaces the instances that hold a model or adapter.
+// setHolders replaces the instances that hold a model or adapter, as the planner named
+// them, and forgets that they recently lacked it.
 func (t *instanceTracker) setHolders(target site.Target, keys []site.InstanceKey) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -248,7 +250,7 @@
 	t.recentRequests[target] = t.recentRequests[target].Add(1, time.Now())
 }
 
-// minRecentWeight is the weight below which past requests are forgotten.
+// minRecentWeight is the decayed number of requests below which past requests for a target are forgotten.
 const minRecentWeight = 0.2
 
 // takeRequestCounts returns the requests since the last call or, with allRecent, the
