--- a/internal/front/sched/churn_test.go
+++ b/internal/front/sched/churn_test.go
@@ -18,7 +18,7 @@
 	"foxtailcroft/internal/front/peers"
 )
 
-// arrivalDelay is the time from the planner's answer to the arrival of the request at
+// arrivalDelay is the time from the planner's reply to the arrival of the request at
 // the server.
 const arrivalDelay = 5 * time.Millisecond
 
@@ -36,7 +36,7 @@
 			closePool()
 		})
 		time.Sleep(5 * time.Second)
-		before := len(c.orderBook.Orders())
+		before := len(c.orderLog.Orders())
 		var missed atomic.Int64
 		var group conc.WaitGroup
 		for i := range adapters {
@@ -54,11 +54,11 @@
 			})
 		}
 		group.Wait()
-		orders := len(c.orderBook.Orders()) - before
+		orders := len(c.orderLog.Orders()) - before
 		t.Logf("%d orders, %d requests arrived after their adapter was evicted", orders, missed.Load())
 		c.g.Expect(missed.Load()).To(BeZero())
 		c.g.Expect(orders).To(BeNumerically("<=", 2*adapters*rounds))
-		c.g.Expect(c.orderBook.Breaches()).To(BeEmpty())
+		c.g.Expect(c.orderLog.Breaches()).To(BeEmpty())
 	})
 }
 
@@ -124,7 +124,7 @@
 		c.g.Expect(err).NotTo(HaveOccurred())
 		c.g.Expect(found.Instances).To(HaveLen(1), found.Reason)
 		group.Wait()
-		c.g.Expect(c.orderBook.Breaches()).To(BeEmpty())
+		c.g.Expect(c.orderLog.Breaches()).To(BeEmpty())
 	})
 }
 
@@ -153,13 +153,13 @@
 		c.g.Expect(status.Pending).To(HaveLen(1))
 		successor.planner.InheritStatus(status)
 		first.cancel()
-		before := len(c.orderBook.Orders())
+		before := len(c.orderLog.Orders())
 		time.Sleep(4 * time.Second)
 		c.g.Expect(successor.planner.checkLeadership()).To(BeTrue())
 		found, err := successor.planner.RequestInstances(c.ctx, peers.InstanceRequest{Service: "llm", Target: site.Target{Model: "m7"}, Wait: 12 * time.Second, Answer: 12 * time.Second})
 		c.g.Expect(err).NotTo(HaveOccurred())
 		c.g.Expect(found.Instances).To(HaveLen(1), found.Reason)
-		c.g.Expect(c.orderBook.Orders()[before:]).To(BeEmpty())
+		c.g.Expect(c.orderLog.Orders()[before:]).To(BeEmpty())
 	})
 }
 
@@ -170,7 +170,7 @@
 		want     time.Duration
 	}{
 		{"unknown share: no delay", 0, 0},
-		{"strong", 0.8, 0},
+		{"more than sufficient: no delay", 0.8, 0},
 		{"just sufficient: no delay", 0.3, 0},
 		{"half of the sufficient share: half the maximum", 0.15, 400 * time.Millisecond},
 	}
--- a/internal/front/sched/client.go
+++ b/internal/front/sched/client.go
@@ -48,12 +48,12 @@
 		return site.ServerReport{}, err
 	}
 	if status != http.StatusOK {
-		return site.ServerReport{}, fmt.Errorf("status %d", status)
+		return site.ServerReport{}, fmt.Errorf("reading the report failed with status %d", status)
 	}
 	return w.dialect.Report(data)
 }
 
-// order sends an order. Without a response the outcome is Unknown.
+// order sends an order. The outcome is Unknown if there is an error, such as no response.
 func (w *serverClient) order(ctx context.Context, in site.Instance, o site.Order) (site.OrderOutcome, error) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
--- a/internal/front/sched/demand.go
+++ b/internal/front/sched/demand.go
@@ -60,20 +60,20 @@
 // request is unknown.
 const minSentWeight = 1.0
 
-// byModel returns the demand for every model, and drops adapters that are no longer in use.
+// byModel returns the demand for every requested model, and drops adapters that are no longer in use.
 func (d demand) byModel(now time.Time) map[string]swap.Demand {
 	out := make(map[string]swap.Demand, len(d.requests))
-	for m, f := range d.requests {
-		out[m] = swap.Demand{Rate: f.Rate(now), PrefillTime: d.promptTimePerRequest(m, now)}
+	for m, count := range d.requests {
+		out[m] = swap.Demand{Rate: count.Rate(now), PrefillTime: d.promptTimePerRequest(m, now)}
 	}
 	for a, lastRequest := range d.adapterLastRequest {
 		if now.Sub(lastRequest) > adapterActiveWindow {
 			delete(d.adapterLastRequest, a)
 			continue
 		}
-		x := out[a.Model]
-		x.ActiveAdapters++
-		out[a.Model] = x
+		modelDemand := out[a.Model]
+		modelDemand.ActiveAdapters++
+		out[a.Model] = modelDemand
 	}
 	return out
 }
--- a/internal/front/sched/execute.go
+++ b/internal/front/sched/execute.go
@@ -136,8 +136,8 @@
 	began := time.Now()
 	outcome, err := p.client.order(ctx, in, o)
 	p.mu.Lock()
-	var unsent *conns.Failure
-	if errors.As(err, &unsent) && !unsent.Sent {
+	var failure *conns.Failure
+	if errors.As(err, &failure) && !failure.Sent {
 		p.markLost(s, err)
 	} else {
 		p.applyOutcome(s, o, outcome)
--- a/internal/front/sched/planner.go
+++ b/internal/front/sched/planner.go
@@ -41,7 +41,9 @@
 
 // Settings configure the planner for the deployment.
 type Settings struct {
-	Node        string
+	// Node is the name of this front, which its orders carry as their holder.
+	Node string
+	// ChecksFence is true if the servers reject orders with a superseded fencing token.
 	ChecksFence bool
 	// LoadWindow is the sliding window over which the rate limit of the weight store
 	// counts loads.
@@ -101,10 +103,10 @@
 }
 
 // New returns a planner and a function that waits for its background work to end.
-func New(set Settings, lead *Candidate, state func() *follow.State, pool *conns.Pool, d Dialect, meters *metrics.Set, log *zap.SugaredLogger) (*Planner, func()) {
+func New(settings Settings, candidate *Candidate, state func() *follow.State, pool *conns.Pool, d Dialect, meters *metrics.Set, log *zap.SugaredLogger) (*Planner, func()) {
 	group := &tasks.Group{}
 	p := &Planner{
-		settings: set, candidate: lead, state: state, client: &serverClient{pool: pool, dialect: d}, log: log, group: group,
+		settings: settings, candidate: candidate, state: state, client: &serverClient{pool: pool, dialect: d}, log: log, group: group,
 		servers: map[site.InstanceKey]*server{}, wants: map[site.Target]*wantedTarget{}, adaptersLoading: map[site.Target]bool{}, expectedReady: map[string]time.Time{},
 		usageByFront: map[string]frontUsage{}, demand: newDemand(), wakeup: make(chan struct{}, 1),
 		ordersTotal: meters.GetOrCreateCounter("foxtailcroft_orders_total"), storeLoadsTotal: meters.GetOrCreateCounter("foxtailcroft_store_loads_total"),
@@ -182,8 +184,8 @@
 	defer p.mu.Unlock()
 	seen := map[site.InstanceKey]bool{}
 	for _, in := range state.Instances {
-		svc := engineOf(state, in.Service)
-		if svc == nil {
+		engine := engineOf(state, in.Service)
+		if engine == nil {
 			continue
 		}
 		seen[in.InstanceKey] = true
--- a/internal/front/sched/planner_test.go
+++ b/internal/front/sched/planner_test.go
@@ -39,13 +39,13 @@
 // cluster is a set of model servers and planners on one network and one store, in a
 // synctest bubble.
 type cluster struct {
-	g         *WithT
-	ctx       context.Context
-	net       *memnet.Network
-	memory    *kvsim.MemoryStore
-	orderBook *fake.ExecutionLog
-	servers   []*fake.Server
-	stops     []func()
+	g        *WithT
+	ctx      context.Context
+	net      *memnet.Network
+	memory   *kvsim.MemoryStore
+	orderLog *fake.ExecutionLog
+	servers  []*fake.Server
+	stops    []func()
 	// checksFence makes the servers reject old fencing tokens.
 	checksFence bool
 	fronts      []*testFront
@@ -108,7 +108,7 @@
 func runClusterWith(t *testing.T, checksFence bool, servers, fronts, models int, test func(*cluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		c := &cluster{g: NewWithT(t), ctx: ctx, net: memnet.New(), memory: kvsim.NewMemoryStore(1), orderBook: &fake.ExecutionLog{}, checksFence: checksFence}
+		c := &cluster{g: NewWithT(t), ctx: ctx, net: memnet.New(), memory: kvsim.NewMemoryStore(1), orderLog: &fake.ExecutionLog{}, checksFence: checksFence}
 		doc := `{"version":1,"routes":[],"services":[{"name":"llm","engine":{"slots":8,"weightsMb":220000,"adapterSlots":8,"loadsPerS":2,"models":[`
 		for i := range models {
 			if i > 0 {
@@ -149,7 +149,7 @@
 	s = fake.NewServer(fake.Spec{
 		ID: fmt.Sprintf("i-%d", i), Born: born, Service: "llm", Address: address, Zone: "a", Slots: 8, Sizes: sizes, WeightsMb: 220000,
 		AdapterSlots: 8, LoadTime: loadTime, AdapterTime: 8 * time.Millisecond, EventTime: 20 * time.Millisecond, ChecksFence: c.checksFence, AdapterSizeMb: adapterSizeMB,
-	}, c.orderBook, announce, models...)
+	}, c.orderLog, announce, models...)
 	stop := c.net.Serve(address, s)
 	announce()
 	if i < len(c.servers) {
@@ -221,7 +221,7 @@
 		}
 		group.Wait()
 		c.g.Expect(time.Since(began)).To(BeNumerically("<", loadTime+300*time.Millisecond))
-		c.g.Expect(c.orderBook.Breaches()).To(BeEmpty())
+		c.g.Expect(c.orderLog.Breaches()).To(BeEmpty())
 	})
 }
 
@@ -233,7 +233,7 @@
 			c.g.Expect(err).NotTo(HaveOccurred())
 			c.g.Expect(found.Instances).To(HaveLen(1), "adapter %d", i+1)
 		}
-		c.g.Expect(c.orderBook.Breaches()).To(BeEmpty())
+		c.g.Expect(c.orderLog.Breaches()).To(BeEmpty())
 	})
 }
 
@@ -286,7 +286,7 @@
 		c.g.Expect(err).NotTo(HaveOccurred())
 		c.g.Expect(found.Instances).NotTo(BeEmpty())
 		fences := map[string]int64{}
-		for _, o := range c.orderBook.Orders() {
+		for _, o := range c.orderLog.Orders() {
 			c.g.Expect(o.Fence).To(BeNumerically(">=", fences[o.Server]))
 			fences[o.Server] = o.Fence
 		}
@@ -315,7 +315,7 @@
 		group.Wait()
 		last := map[string]fake.AcceptedOrder{}
 		handovers := 0
-		for _, o := range c.orderBook.Orders() {
+		for _, o := range c.orderLog.Orders() {
 			if before, ok := last[o.Server]; ok && before.Holder != o.Holder {
 				handovers++
 				c.g.Expect(o.At.Sub(before.At)).To(BeNumerically(">=", handoverDelay), "%s after %s at %s", o.Holder, before.Holder, o.Server)
@@ -412,10 +412,10 @@
 	}
 	group.Wait()
 	time.Sleep(15 * time.Second)
-	c.g.Expect(c.orderBook.Breaches()).To(BeEmpty())
+	c.g.Expect(c.orderLog.Breaches()).To(BeEmpty())
 	fences := map[string]int64{}
 	holders := map[int64]string{}
-	for _, o := range c.orderBook.Orders() {
+	for _, o := range c.orderLog.Orders() {
 		if h, ok := holders[o.Fence]; ok {
 			c.g.Expect(o.Holder).To(Equal(h), "a fencing token belongs to one planner")
 		}
--- a/internal/front/sched/step.go
+++ b/internal/front/sched/step.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// pruneAndSortWants removes expired wants and returns the targets of the others, the
-// one requested first at the front. The caller must hold p.mu.
+// pruneAndSortWants removes expired wants and returns the targets of the others in
+// the order of their first requests. The caller must hold p.mu.
 func (p *Planner) pruneAndSortWants(now time.Time) []site.Target {
 	maps.DeleteFunc(p.wants, func(_ site.Target, w *wantedTarget) bool { return len(w.waiters) == 0 && now.After(w.expiresAt) })
 	return slices.SortedFunc(maps.Keys(p.wants), func(a, b site.Target) int {
--- a/internal/front/sched/usage.go
+++ b/internal/front/sched/usage.go
@@ -46,14 +46,14 @@
 	defer p.mu.Unlock()
 	now := time.Now()
 	report := frontUsage{receivedAt: now, inFlight: map[site.InstanceKey]map[site.Target]int{}}
-	for _, x := range u.Uses {
-		if report.inFlight[x.Instance] == nil {
-			report.inFlight[x.Instance] = map[site.Target]int{}
+	for _, use := range u.Uses {
+		if report.inFlight[use.Instance] == nil {
+			report.inFlight[use.Instance] = map[site.Target]int{}
 		}
-		report.inFlight[x.Instance][x.Target] += x.InFlight
-		p.demand.addSent(x.Target, x.Requests, x.Work, now)
-		if s := p.servers[x.Instance]; s != nil && x.Requests+x.InFlight > 0 {
-			s.markUsed(x.Target, now)
+		report.inFlight[use.Instance][use.Target] += use.InFlight
+		p.demand.addSent(use.Target, use.Requests, use.Work, now)
+		if s := p.servers[use.Instance]; s != nil && use.Requests+use.InFlight > 0 {
+			s.markUsed(use.Target, now)
 		}
 	}
 	p.usageByFront[u.Front] = report
@@ -74,16 +74,16 @@
 	if p.cachedLoads != nil && now.Sub(p.cachedLoadsAt) < loadsCacheTTL {
 		return p.cachedLoads
 	}
-	var loads []peers.ServerLoad
+	var serverLoads []peers.ServerLoad
 	for _, s := range p.servers {
 		if s.known && !s.lost {
-			loads = append(loads, peers.ServerLoad{Instance: s.inst.InstanceKey, Requests: s.requests, Age: now.Sub(s.reportedAt), Pause: s.pausePeak.Value(now)})
+			serverLoads = append(serverLoads, peers.ServerLoad{Instance: s.inst.InstanceKey, Requests: s.requests, Age: now.Sub(s.reportedAt), Pause: s.pausePeak.Value(now)})
 		}
 	}
-	slices.SortFunc(loads, func(a, b peers.ServerLoad) int {
+	slices.SortFunc(serverLoads, func(a, b peers.ServerLoad) int {
 		return cmp.Or(cmp.Compare(b.Requests, a.Requests), cmp.Compare(a.Instance.ID, b.Instance.ID))
 	})
-	p.cachedLoads, p.cachedLoadsAt = loads[:min(maxListedServers, len(loads))], now
+	p.cachedLoads, p.cachedLoadsAt = serverLoads[:min(maxListedServers, len(serverLoads))], now
 	return p.cachedLoads
 }
 
@@ -125,12 +125,12 @@
 // adoptInheritedLoad records the load that a busy server is still running for the
 // previous planner, so that it isn't ordered again. The caller must hold p.mu.
 func (p *Planner) adoptInheritedLoad(s *server) {
-	x, ok := p.inheritedLoads[s.inst.InstanceKey]
-	if !ok || !s.busy || s.loadingModel != "" || s.models[x.model] != nil {
+	load, ok := p.inheritedLoads[s.inst.InstanceKey]
+	if !ok || !s.busy || s.loadingModel != "" || s.models[load.model] != nil {
 		return
 	}
-	s.loadingModel, s.readyAt = x.model, x.readyAt
-	p.log.Infow("adopted a load in progress from the previous planner", "Instance", s.inst.ID, "Model", x.model, "Fence", p.fence)
+	s.loadingModel, s.readyAt = load.model, load.readyAt
+	p.log.Infow("adopted a load in progress from the previous planner", "Instance", s.inst.ID, "Model", load.model, "Fence", p.fence)
 }
 
 // requestsInFlight returns the number of requests in flight at a server for a
--- a/internal/front/sched/wants.go
+++ b/internal/front/sched/wants.go
@@ -31,8 +31,9 @@
 // refusedWantTTL is how long a want lives on after the wait time of its last request.
 const refusedWantTTL = 3 * time.Second
 
-// RequestInstances waits until an instance can serve the target, and otherwise returns the reason
-// and, if known, when one will. It returns a NoPlanner error if this front isn't the planner.
+// RequestInstances waits, for the shorter of w.Wait and w.Answer, until an instance can
+// serve the target. If none can, it returns the reason and, if known, when one will. It
+// returns a NoPlannerError if this front isn't the planner.
 func (p *Planner) RequestInstances(ctx context.Context, w peers.InstanceRequest) (peers.InstanceReply, error) {
 	if !p.checkLeadership() {
 		return peers.InstanceReply{}, &peers.NoPlannerError{}
