--- a/internal/node/front/front.go
+++ b/internal/node/front/front.go
@@ -67,7 +67,7 @@
 	candidate      *sched.Candidate
 	planner        *sched.Planner
 	peers          *peers.Client
-	proxy          *proxy.Server
+	reverseProxy   *proxy.Server
 	pool           *conns.Pool
 	mux            *peer.Mux
 	hello          func() peer.Hello
@@ -98,9 +98,9 @@
 	follower.SetPeers(frontPeers)
 	f := &Front{
 		settings: settings, follower: follower, candidate: candidate, planner: planner, peers: frontPeers, pool: pool, mux: mux, hello: hello, options: o, log: log,
-		proxy: proxy.New(settings, follower, pool, o.Dialect, frontPeers, o.Metrics, log.Named("Relay")),
+		reverseProxy: proxy.New(settings, follower, pool, o.Dialect, frontPeers, o.Metrics, log.Named("Relay")),
 	}
-	f.callerServer = newCallerServer(f.proxy, follower)
+	f.callerServer = newCallerServer(f.reverseProxy, follower)
 	return f, func() {
 		closeLinks()
 		closePlanner()
@@ -161,7 +161,7 @@
 			continue
 		}
 		isNewPlanner := planner.FencingToken != reportedFence
-		usage := f.proxy.TakeUsage(isNewPlanner)
+		usage := f.reverseProxy.TakeUsage(isNewPlanner)
 		reportedFence = planner.FencingToken
 		if !isNewPlanner && len(usage.Uses) == 0 && len(usage.Asked) == 0 && len(usage.Pauses) == 0 {
 			continue
@@ -174,7 +174,7 @@
 			}
 			continue
 		}
-		f.proxy.RecordLoads(status.Loads)
+		f.reverseProxy.RecordLoads(status.Loads)
 		f.planner.InheritStatus(status)
 	}
 }
--- a/internal/node/front/ready.go
+++ b/internal/node/front/ready.go
@@ -49,7 +49,7 @@
 func (f *Front) Drain(ctx context.Context) {
 	deadline := time.Now().Add(f.settings.Bounds.Grace - f.settings.Bounds.Grace/exitGraceDivisor)
 	f.lifecycleState.draining.Store(true)
-	f.proxy.SetStopTime(deadline)
+	f.reverseProxy.SetStopTime(deadline)
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
 	f.candidate.Resign(ctx)
