--- a/internal/node/front/callers.go
+++ b/internal/node/front/callers.go
@@ -48,7 +48,7 @@
 	idleSince      map[net.Conn]time.Time
 	phase          stopPhase
 	activeRequests int
-	// drained is closed when the last request has ended.
+	// drained is closed when the last request has ended after drain was called.
 	drained chan struct{}
 }
 
