--- a/internal/front/proxy/history_test.go
+++ b/internal/front/proxy/history_test.go
@@ -28,7 +28,7 @@
 	random *rand.Rand
 }
 
-// happens returns true with a probability.
+// happens returns true with the given probability, 0 to 1.
 func (l *orderService) happens(chance float64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/front/proxy/pick.go
+++ b/internal/front/proxy/pick.go
@@ -10,7 +10,7 @@
 	"foxtailcroft/internal/policy/score"
 )
 
-// choice is a chosen instance with the estimates that decided for it.
+// choice is a chosen instance with the estimates that led to the choice.
 type choice struct {
 	site.Instance
 	score.Candidate
--- a/internal/front/proxy/raw_test.go
+++ b/internal/front/proxy/raw_test.go
@@ -19,7 +19,7 @@
 
 func TestMain(m *testing.M) { seeds.RunTests(m, 150) }
 
-// rawRequest is a request as bytes, with the id and body length that a server may run.
+// rawRequest is a request as bytes, with the only id and body length with which a server may run it.
 type rawRequest struct {
 	bytes     string
 	id        string
--- a/internal/front/proxy/tracker.go
+++ b/internal/front/proxy/tracker.go
@@ -70,7 +70,7 @@
 	return &instanceTracker{stats: map[site.InstanceKey]*instanceStats{}, holders: map[site.Target]map[site.InstanceKey]bool{}, newRequests: map[site.Target]float64{}, recentRequests: map[site.Target]decay.Count{}, prefillSpeeds: map[string]speed.Prefill{}}
 }
 
-// statsOf returns the statistics of an instance, empty ones at first; the caller holds the lock.
+// statsOf returns the statistics of an instance and adds empty ones if there are none; the caller holds the lock.
 func (t *instanceTracker) statsOf(k site.InstanceKey) *instanceStats {
 	s := t.stats[k]
 	if s == nil {
@@ -194,7 +194,7 @@
 	s.excludedUntil = time.Now().Add(duration)
 }
 
-// unusable returns the instances of the list that are excluded or reported a missing model recently.
+// unusable returns the instances of the list that are excluded for now, or reported recently that they lack the target.
 func (t *instanceTracker) unusable(list []site.Instance, target site.Target) []site.InstanceKey {
 	t.mu.Lock()
 	defer t.mu.Unlock()
