--- a/internal/front/sched/planner.go
+++ b/internal/front/sched/planner.go
@@ -77,8 +77,8 @@
 	// inheritedLoads are the loads in progress in the last state that another
 	// planner published.
 	inheritedLoads map[site.InstanceKey]inheritedLoad
-	// expectedReady is when a model will be ready for which a busy server is chosen
-	// that loads it once it is available.
+	// expectedReady is when the loads that the policy has deferred are expected to end,
+	// by model; their servers are busy or have no room yet.
 	expectedReady map[string]time.Time
 	usageByFront  map[string]frontUsage
 	demand        demand
--- a/internal/front/sched/wants.go
+++ b/internal/front/sched/wants.go
@@ -24,35 +24,35 @@
 // waiter is a waiting request. Its channel is closed without an answer when this
 // front stops being the planner.
 type waiter struct {
-	want   peers.InstanceRequest
-	answer chan peers.InstanceReply
+	request peers.InstanceRequest
+	answer  chan peers.InstanceReply
 }
 
 // refusedWantTTL is how long a want lives on after the wait time of its last request.
 const refusedWantTTL = 3 * time.Second
 
-// RequestInstances waits, for the shorter of w.Wait and w.Answer, until an instance can
+// RequestInstances waits, for the shorter of req.Wait and req.Answer, until an instance can
 // serve the target. If none can, it returns the reason and, if known, when one will. It
 // returns a NoPlannerError if this front isn't the planner.
-func (p *Planner) RequestInstances(ctx context.Context, w peers.InstanceRequest) (peers.InstanceReply, error) {
+func (p *Planner) RequestInstances(ctx context.Context, req peers.InstanceRequest) (peers.InstanceReply, error) {
 	if !p.checkLeadership() {
 		return peers.InstanceReply{}, &peers.NoPlannerError{}
 	}
-	deadline := time.NewTimer(min(w.Wait, w.Answer))
+	deadline := time.NewTimer(min(req.Wait, req.Answer))
 	defer deadline.Stop()
-	request, found, wait := p.register(w)
+	waiting, found, wait := p.register(req)
 	if !wait {
 		return found, nil
 	}
-	defer p.removeWaiter(request)
+	defer p.removeWaiter(waiting)
 	select {
-	case found, ok := <-request.answer:
+	case found, ok := <-waiting.answer:
 		if !ok {
 			return peers.InstanceReply{}, &peers.NoPlannerError{}
 		}
 		return found, nil
 	case <-deadline.C:
-		found.Waiting = w.Answer < w.Wait
+		found.Waiting = req.Answer < req.Wait
 		found.Reason = "not ready in time"
 		return found, nil
 	case <-ctx.Done():
@@ -62,34 +62,34 @@
 
 // register answers a request at once if possible, and otherwise adds it to the
 // waiters of its target.
-func (p *Planner) register(w peers.InstanceRequest) (request *waiter, found peers.InstanceReply, wait bool) {
+func (p *Planner) register(req peers.InstanceRequest) (waiting *waiter, found peers.InstanceReply, wait bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	wanted := p.wants[w.Target]
+	wanted := p.wants[req.Target]
 	if wanted == nil {
-		wanted = &wantedTarget{service: w.Service, firstRequested: now, waiters: map[*waiter]bool{}}
-		p.wants[w.Target] = wanted
+		wanted = &wantedTarget{service: req.Service, firstRequested: now, waiters: map[*waiter]bool{}}
+		p.wants[req.Target] = wanted
 	}
-	wanted.expiresAt = now.Add(w.Wait + refusedWantTTL)
-	p.recheckReports(w.Avoid)
+	wanted.expiresAt = now.Add(req.Wait + refusedWantTTL)
+	p.recheckReports(req.Avoid)
 	p.wake()
-	found, wait = p.findInstances(w)
+	found, wait = p.findInstances(req)
 	if !wait {
-		p.deleteServedWant(w.Target, found)
+		p.deleteServedWant(req.Target, found)
 		return nil, found, false
 	}
-	request = &waiter{want: w, answer: make(chan peers.InstanceReply, 1)}
-	wanted.waiters[request] = true
-	return request, found, true
+	waiting = &waiter{request: req, answer: make(chan peers.InstanceReply, 1)}
+	wanted.waiters[waiting] = true
+	return waiting, found, true
 }
 
 // removeWaiter removes a request from the waiters of its target.
-func (p *Planner) removeWaiter(request *waiter) {
+func (p *Planner) removeWaiter(waiting *waiter) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if wanted := p.wants[request.want.Target]; wanted != nil {
-		delete(wanted.waiters, request)
+	if wanted := p.wants[waiting.request.Target]; wanted != nil {
+		delete(wanted.waiters, waiting)
 	}
 }
 
@@ -108,13 +108,13 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for t, wanted := range p.wants {
-		for request := range wanted.waiters {
-			found, wait := p.findInstances(request.want)
+		for waiting := range wanted.waiters {
+			found, wait := p.findInstances(waiting.request)
 			if wait {
 				continue
 			}
-			delete(wanted.waiters, request)
-			request.answer <- found
+			delete(wanted.waiters, waiting)
+			waiting.answer <- found
 			p.deleteServedWant(t, found)
 		}
 	}
@@ -125,8 +125,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, wanted := range p.wants {
-		for request := range wanted.waiters {
-			close(request.answer)
+		for waiting := range wanted.waiters {
+			close(waiting.answer)
 		}
 	}
 	clear(p.wants)
@@ -152,30 +152,30 @@
 // findInstances returns the instances that serve the target. If there are none, it
 // returns whether the request should wait for one, or why not. The caller must hold
 // p.mu.
-func (p *Planner) findInstances(w peers.InstanceRequest) (found peers.InstanceReply, wait bool) {
+func (p *Planner) findInstances(req peers.InstanceRequest) (found peers.InstanceReply, wait bool) {
 	for _, s := range p.servers {
-		if s.inst.Service == w.Service && s.serves(w.Target) && !slices.Contains(w.Avoid, s.inst.InstanceKey) {
+		if s.inst.Service == req.Service && s.serves(req.Target) && !slices.Contains(req.Avoid, s.inst.InstanceKey) {
 			found.Instances = append(found.Instances, s.inst.InstanceKey)
-			s.markUsed(w.Target, time.Now())
+			s.markUsed(req.Target, time.Now())
 		}
 	}
 	if len(found.Instances) > 0 {
 		return found, false
 	}
-	engine := engineOf(p.state(), w.Service)
-	if engine == nil || engine.Model(w.Target.Model) == nil {
+	engine := engineOf(p.state(), req.Service)
+	if engine == nil || engine.Model(req.Target.Model) == nil {
 		found.Reason = "the service has no such model"
 		return found, false
 	}
-	if ready, ok := p.forecastReady(w.Target.Model); ok {
+	if ready, ok := p.forecastReady(req.Target.Model); ok {
 		found.ReadyIn = time.Until(ready)
-		if found.ReadyIn > w.Wait {
+		if found.ReadyIn > req.Wait {
 			found.Reason = "the load ends too late"
 			return found, false
 		}
 		return found, true
 	}
-	if model := engine.Model(w.Target.Model); p.noServerPlanned(w.Target) && model.StoreLoadTime > w.Wait {
+	if model := engine.Model(req.Target.Model); p.noServerPlanned(req.Target) && model.StoreLoadTime > req.Wait {
 		found.ReadyIn = model.StoreLoadTime
 		found.Reason = "no server can load the model in time"
 		return found, false
