--- a/internal/plat/follow/follower.go
+++ b/internal/plat/follow/follower.go
@@ -29,8 +29,9 @@
 	rereadInterval = 5 * time.Second
 )
 
-// Peers fetches a view newer than a revision from other fronts; false if none has one.
+// Peers fetches views from other fronts.
 type Peers interface {
+	// FetchNewer returns a view newer than the revision; false if no front has one.
 	FetchNewer(ctx context.Context, revision int64) (store.List, bool)
 }
 
@@ -39,7 +40,7 @@
 	store   store.Store
 	decoder Decoder
 	layout  Layout
-	times   Delays
+	delays  Delays
 	self    string
 	peers   Peers
 	log     *zap.SugaredLogger
@@ -65,14 +66,14 @@
 
 // New returns a follower with an empty state.
 func New(self string, s store.Store, d Decoder, l Layout, t Delays, log *zap.SugaredLogger) *Follower {
-	f := &Follower{self: self, store: s, decoder: d, layout: l, times: t, log: log, missing: map[string]bool{}}
+	f := &Follower{self: self, store: s, decoder: d, layout: l, delays: t, log: log, missing: map[string]bool{}}
 	f.state.Store(&State{Keys: map[string]store.KV{}, Instances: map[string]site.Instance{}, Fronts: map[string]Front{}, replaced: make(chan struct{})})
 	return f
 }
 
 // SetPeers sets the source of views while the store is unavailable; call it before Run.
-func (f *Follower) SetPeers(m Peers) {
-	f.peers = m
+func (f *Follower) SetPeers(peers Peers) {
+	f.peers = peers
 }
 
 // State returns the newest state.
@@ -163,14 +164,14 @@
 }
 
 // batchDelay returns the pause before the next watch call. Each call has a
-// cost, so changes are batched: briefly on the planner, which waits for loads to
-// finish, and longer on other fronts, which only need documents and draining
-// instances in time.
+// cost, so changes are batched: briefly on the planner, which must learn soon
+// that loads have finished, and longer on other fronts, which only need
+// documents and draining instances in time.
 func (f *Follower) batchDelay() time.Duration {
 	if s := f.State(); s.Planner != nil && s.Planner.Name == f.self {
 		return plannerBatchDelay
 	}
-	return f.times.BatchDelay
+	return f.delays.BatchDelay
 }
 
 // RunReread reads the document linearizably every rereadInterval, in case the watch drops changes.
@@ -206,7 +207,7 @@
 // RunMissingCheck removes instances that did not announce themselves again after an outage.
 func (f *Follower) RunMissingCheck(ctx context.Context) {
 	for sleep.For(ctx, missingCheckInterval) {
-		if f.Unavailable(f.times.ReturnGrace) {
+		if f.Unavailable(f.delays.ReturnGrace) {
 			continue
 		}
 		f.update(func(old *State) *State {
@@ -297,7 +298,8 @@
 }
 
 // retainMissing restores in keys a document that is missing there, and the
-// instances that disappeared during an outage or within Delays.ReturnGrace after it.
+// instances that disappeared during an outage or within Delays.ReturnGrace after
+// it, unless they were draining.
 func (f *Follower) retainMissing(old *State, keys map[string]store.KV) {
 	if kv, ok := old.Keys[f.layout.DocumentKey]; ok && keys[f.layout.DocumentKey].Revision == 0 {
 		keys[f.layout.DocumentKey] = kv
@@ -310,7 +312,7 @@
 			}
 			continue
 		}
-		if in.Draining || !f.Unavailable(f.times.ReturnGrace) {
+		if in.Draining || !f.Unavailable(f.delays.ReturnGrace) {
 			continue
 		}
 		keys[key] = old.Keys[key]
--- a/internal/plat/follow/follower_test.go
+++ b/internal/plat/follow/follower_test.go
@@ -190,12 +190,12 @@
 	})
 }
 
-// TestLapsedInstances checks that instances whose announcements lapse during an outage are kept for Delays.ReturnGrace.
-func TestLapsedInstances(t *testing.T) {
+// TestLapsedInstanceIsKeptOnlyForTheGracePeriod covers announcements that lapse during an outage of the store.
+func TestLapsedInstanceIsKeptOnlyForTheGracePeriod(t *testing.T) {
 	cases := []struct {
-		name  string
-		back  time.Duration
-		stays bool
+		name        string
+		returnAfter time.Duration
+		kept        bool
 	}{
 		{"announced again within the grace period", time.Second, true},
 		{"not announced again", 0, false},
@@ -212,21 +212,21 @@
 				w.SetFaults(kvsim.Faults{})
 				time.Sleep(600 * time.Millisecond)
 				w.g.Expect(w.hasInstance("a")).To(BeTrue(), "kept while it may return")
-				if c.back > 0 {
-					time.Sleep(c.back)
+				if c.returnAfter > 0 {
+					time.Sleep(c.returnAfter)
 					w.put("srv/a", "at 1")
 				}
 				time.Sleep(2 * testReturnGrace)
-				w.g.Expect(w.hasInstance("a")).To(Equal(c.stays))
+				w.g.Expect(w.hasInstance("a")).To(Equal(c.kept))
 			})
 		})
 	}
 }
 
-// TestInstanceThatLeavesSoonAfterAnOutage removes an instance one second after
-// the store has recovered, without draining it first: it is kept no longer than
-// Delays.ReturnGrace after the outage.
-func TestInstanceThatLeavesSoonAfterAnOutage(t *testing.T) {
+// TestInstanceRemovedSoonAfterAnOutageIsKeptOnlyForTheGracePeriod removes an
+// instance one second after the store has recovered, without draining it first:
+// it is kept no longer than Delays.ReturnGrace after the outage.
+func TestInstanceRemovedSoonAfterAnOutageIsKeptOnlyForTheGracePeriod(t *testing.T) {
 	runFollower(t, nil, func(w *followerTest) {
 		w.put("op/doc", "v1")
 		w.put("srv/a", "at 1")
--- a/internal/plat/follow/state.go
+++ b/internal/plat/follow/state.go
@@ -34,7 +34,7 @@
 	FencingToken int64
 }
 
-// State is an immutable view of the site at one store revision.
+// State is an immutable view of the site at one store revision. Document is nil until one has been decoded, and Planner if no front holds the role.
 type State struct {
 	Revision  int64
 	Keys      map[string]store.KV
--- a/internal/plat/ledger/ledger.go
+++ b/internal/plat/ledger/ledger.go
@@ -113,12 +113,13 @@
 
 // Filter selects audit records; a zero field matches all.
 type Filter struct {
+	// Since is the earliest time of a record.
 	Since time.Time
 	// Prefix is a prefix of the key, such as "Model/".
 	Prefix string
 }
 
-// Records returns the audit records that have not expired, oldest first.
+// Records returns the audit records that have not expired, oldest first; it skips records that are not valid JSON.
 func (l *Ledger) Records(ctx context.Context, f Filter) ([]audit.Record, error) {
 	list, err := l.store.Range(ctx, store.AuditPrefix)
 	if err != nil {
--- a/internal/plat/store/client.go
+++ b/internal/plat/store/client.go
@@ -69,12 +69,12 @@
 	KVs    []wireKV `json:"kvs"`
 }
 
-// Range returns the keys with a prefix.
+// Range returns the keys with a prefix from a linearizable read.
 func (c *Client) Range(ctx context.Context, prefix string) (List, error) {
 	return c.rangeKeys(ctx, rangeRequest{Key: []byte(prefix), RangeEnd: prefixEnd(prefix)})
 }
 
-// Get returns one key.
+// Get returns one key from a linearizable read; false if it does not exist.
 func (c *Client) Get(ctx context.Context, key string) (KV, bool, error) {
 	list, err := c.rangeKeys(ctx, rangeRequest{Key: []byte(key)})
 	if err != nil || len(list.KVs) == 0 {
@@ -122,7 +122,7 @@
 	} `json:"responses"`
 }
 
-// Commit runs a transaction.
+// Commit runs a transaction; if a comparison fails, the result holds the compared keys instead.
 func (c *Client) Commit(ctx context.Context, t Txn) (Result, error) {
 	var req txnRequest
 	for _, cmp := range t.If {
@@ -151,7 +151,7 @@
 	return res, nil
 }
 
-// Grant returns a new lease.
+// Grant returns a new lease; its TTL is ttl rounded down to whole seconds, but at least one.
 func (c *Client) Grant(ctx context.Context, ttl time.Duration) (int64, error) {
 	req := struct {
 		TTL int64 `json:"TTL,string"`
@@ -163,7 +163,7 @@
 	return reply.ID, err
 }
 
-// KeepAlive renews a lease.
+// KeepAlive renews a lease; false if the lease has expired.
 func (c *Client) KeepAlive(ctx context.Context, lease int64) (bool, error) {
 	req := struct {
 		ID int64 `json:"ID,string"`
--- a/internal/plat/store/store.go
+++ b/internal/plat/store/store.go
@@ -10,7 +10,7 @@
 	"foxtailcroft/internal/core/fault"
 )
 
-// KV is one stored key; Revision is the store revision of its last change.
+// KV is one stored key. Revision is the store revision of its last change; Lease is 0 if the key has none.
 type KV struct {
 	Key      string
 	Value    []byte
@@ -65,7 +65,7 @@
 }
 
 // Store is the key-value service. Calls without a response return *fault.Unavailable,
-// with Unsettled set if a write may have been applied.
+// with MayHaveApplied set if a write may have been applied.
 type Store interface {
 	// Range returns the keys with a prefix from a linearizable read.
 	Range(ctx context.Context, prefix string) (List, error)
@@ -81,8 +81,9 @@
 	Watch(ctx context.Context, prefix string, after int64, fn func(Batch) error) error
 }
 
-// Compacted is the error of a watch from a revision whose later changes the store has compacted.
+// Compacted is the error of a watch whose next changes the store has compacted.
 type Compacted struct {
+	// Revision is the compaction revision or, if the store does not state it, the one that the watch continued after.
 	Revision int64
 }
 
@@ -92,8 +93,9 @@
 }
 
 const (
-	settleInitialInterval = 50 * time.Millisecond
-	settleMaxInterval     = time.Second
+	// commitRetryInitialInterval and commitRetryMaxInterval bound the backoff between the attempts of CommitOnce.
+	commitRetryInitialInterval = 50 * time.Millisecond
+	commitRetryMaxInterval     = time.Second
 )
 
 // CommitOnce commits a transaction and retries while the outcome is unknown because
@@ -101,21 +103,21 @@
 // finding it proves that an earlier attempt was applied.
 func CommitOnce(ctx context.Context, s Store, t Txn, witness string) (Result, error) {
 	t.If = append([]Compare{{Key: witness}}, t.If...)
-	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval = settleInitialInterval
-	pause.MaxInterval = settleMaxInterval
-	unsettled := false
+	retryBackOff := backoff.NewExponentialBackOff()
+	retryBackOff.InitialInterval = commitRetryInitialInterval
+	retryBackOff.MaxInterval = commitRetryMaxInterval
+	mayHaveApplied := false
 	return backoff.Retry(ctx, func() (Result, error) {
 		res, err := s.Commit(ctx, t)
 		if err != nil {
-			var away *fault.Unavailable
-			if !fault.As(err, &away) || !away.MayHaveApplied {
-				if unsettled {
+			var unavailable *fault.Unavailable
+			if !fault.As(err, &unavailable) || !unavailable.MayHaveApplied {
+				if mayHaveApplied {
 					return Result{}, err
 				}
 				return Result{}, backoff.Permanent(err)
 			}
-			unsettled = true
+			mayHaveApplied = true
 			return Result{}, err
 		}
 		for _, kv := range res.Current {
@@ -124,5 +126,5 @@
 			}
 		}
 		return res, nil
-	}, backoff.WithBackOff(pause), backoff.WithMaxElapsedTime(0))
+	}, backoff.WithBackOff(retryBackOff), backoff.WithMaxElapsedTime(0))
 }
