--- a/internal/back/conns/conn.go
+++ b/internal/back/conns/conn.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// conn is one connection to an instance.
+// conn is one connection to an instance; while idle, it may be reused before reuseDeadline.
 type conn struct {
 	net.Conn
 	reader        *bufio.Reader
--- a/internal/back/conns/conns_test.go
+++ b/internal/back/conns/conns_test.go
@@ -58,7 +58,7 @@
 	return "HTTP/1.1 200 OK\r\nRequest-Id: " + id + "\r\n" + more + "\r\n" + body
 }
 
-func TestAnswers(t *testing.T) {
+func TestOnlyWholeOwnResponsesKeepTheConnection(t *testing.T) {
 	own := answer("a", "Content-Length: 4\r\n", "mine")
 	cases := []struct {
 		name   string
@@ -68,19 +68,19 @@
 		failed, cut bool
 		reusable    bool
 	}{
-		{"plain", own, "mine", false, false, true},
-		{"chunked", answer("a", "Transfer-Encoding: chunked\r\n", "4\r\nmine\r\n0\r\n\r\n"), "mine", false, false, true},
-		{"without a length", answer("a", "", "mine"), "mine", false, false, false},
-		{"asked to close", answer("a", "Connection: close\r\nContent-Length: 4\r\n", "mine"), "mine", false, false, false},
-		{"cut short", answer("a", "Content-Length: 9\r\n", "mine"), "mine", false, true, false},
-		{"cut in a chunk", answer("a", "Transfer-Encoding: chunked\r\n", "9\r\nmine"), "mine", false, true, false},
-		{"chunks without an end", answer("a", "Transfer-Encoding: chunked\r\n", "4\r\nmine\r\n"), "mine", false, true, false},
-		{"a late answer to another before it", answer("z", "Content-Length: 5\r\n", "other") + own, "mine", false, false, true},
-		{"only an answer to another", answer("z", "Content-Length: 5\r\n", "other"), "", true, false, false},
-		{"a second answer behind it", own + own, "mine", false, false, false},
-		{"continue first", "HTTP/1.1 100 Continue\r\n\r\n" + own, "mine", false, false, true},
-		{"no answer in the protocol", "\x00\x01garbage\r\n\r\n", "", true, false, false},
-		{"nothing", "", "", true, false, false},
+		{"response with a length", own, "mine", false, false, true},
+		{"chunked response", answer("a", "Transfer-Encoding: chunked\r\n", "4\r\nmine\r\n0\r\n\r\n"), "mine", false, false, true},
+		{"no length, so the body ends with the connection", answer("a", "", "mine"), "mine", false, false, false},
+		{"server asks to close", answer("a", "Connection: close\r\nContent-Length: 4\r\n", "mine"), "mine", false, false, false},
+		{"body shorter than its length", answer("a", "Content-Length: 9\r\n", "mine"), "mine", false, true, false},
+		{"body truncated inside a chunk", answer("a", "Transfer-Encoding: chunked\r\n", "9\r\nmine"), "mine", false, true, false},
+		{"last chunk missing", answer("a", "Transfer-Encoding: chunked\r\n", "4\r\nmine\r\n"), "mine", false, true, false},
+		{"late response to another request is skipped", answer("z", "Content-Length: 5\r\n", "other") + own, "mine", false, false, true},
+		{"only a response to another request", answer("z", "Content-Length: 5\r\n", "other"), "", true, false, false},
+		{"a second response follows", own + own, "mine", false, false, false},
+		{"informational response is skipped", "HTTP/1.1 100 Continue\r\n\r\n" + own, "mine", false, false, true},
+		{"response is not HTTP", "\x00\x01garbage\r\n\r\n", "", true, false, false},
+		{"connection closed without a response", "", "", true, false, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -126,11 +126,11 @@
 		wait      time.Duration
 		dials     int
 	}{
-		{"at once", "", 0, 1},
-		{"within the stated time", "Keep-Alive: timeout=10\r\n", 9 * time.Second, 1},
-		{"near its end", "Keep-Alive: timeout=10\r\n", 9700 * time.Millisecond, 2},
-		{"a short one", "Keep-Alive: timeout=0\r\n", 10 * time.Millisecond, 2},
-		{"none stated, for long", "", 3 * time.Second, 2},
+		{"reused immediately", "", 0, 1},
+		{"within the stated timeout", "Keep-Alive: timeout=10\r\n", 9 * time.Second, 1},
+		{"within idleMargin of the stated timeout", "Keep-Alive: timeout=10\r\n", 9700 * time.Millisecond, 2},
+		{"stated timeout shorter than idleMargin", "Keep-Alive: timeout=0\r\n", 10 * time.Millisecond, 2},
+		{"no timeout stated, past defaultReuseTime", "", 3 * time.Second, 2},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/back/engine/client.go
+++ b/internal/back/engine/client.go
@@ -55,17 +55,17 @@
 // engine merges repeats of an order in progress, so a lost response or a dead
 // connection costs at most one call's timeout.
 func (c *Client) order(ctx context.Context, path string, o Order) error {
-	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval, pause.MaxInterval = 50*time.Millisecond, time.Second
+	retryBackOff := backoff.NewExponentialBackOff()
+	retryBackOff.InitialInterval, retryBackOff.MaxInterval = 50*time.Millisecond, time.Second
 	_, err := backoff.Retry(ctx, func() (struct{}, error) {
 		for {
 			done, err := c.orderOnce(ctx, path, o)
 			if done || err != nil {
 				return struct{}{}, err
 			}
-			pause.Reset()
+			retryBackOff.Reset()
 		}
-	}, backoff.WithBackOff(pause), backoff.WithMaxElapsedTime(0))
+	}, backoff.WithBackOff(retryBackOff), backoff.WithMaxElapsedTime(0))
 	return err
 }
 
@@ -123,7 +123,7 @@
 	} `json:"items"`
 }
 
-// Report fetches the engine's memory, items and running requests.
+// Report fetches the engine's memory, items and running requests; errors of the call are *fault.Unavailable.
 func (c *Client) Report(ctx context.Context) (Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
--- a/internal/back/engine/engine.go
+++ b/internal/back/engine/engine.go
@@ -48,7 +48,8 @@
 	Loading bool
 }
 
-// Report is an engine's report of its state, which may lag behind.
+// Report is an engine's report of its state, which may lag behind. MemoryBytes is the size
+// of its accelerator memory, Running the number of requests that it is generating.
 type Report struct {
 	MemoryBytes int64
 	Items       []LoadedItem
--- a/internal/back/engine/stream.go
+++ b/internal/back/engine/stream.go
@@ -26,7 +26,7 @@
 	} `json:"choices"`
 }
 
-// Generate streams one completion.
+// Generate streams one completion. Errors include *NotLoaded, *Rejected and *BrokenStream; a stream without a token for tokenTimeout is broken off.
 func (c *Client) Generate(ctx context.Context, r Request, fn func(Token) error) (string, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
