--- a/internal/link/fanout/relay.go
+++ b/internal/link/fanout/relay.go
@@ -78,13 +78,13 @@
 func (r *Relay) followerRevisions() (map[string]int64, []*peer.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	maps.DeleteFunc(r.followers, func(_ string, a followerState) bool { return time.Since(a.reportedAt) > followerExpiry })
+	maps.DeleteFunc(r.followers, func(_ string, state followerState) bool { return time.Since(state.reportedAt) > followerExpiry })
 	revisions := make(map[string]int64, len(r.followers)+1)
 	var subtreeConns []*peer.Conn
-	for node, a := range r.followers {
-		revisions[node] = a.revision
-		if a.subtreeConn != nil {
-			subtreeConns = append(subtreeConns, a.subtreeConn)
+	for node, state := range r.followers {
+		revisions[node] = state.revision
+		if state.subtreeConn != nil {
+			subtreeConns = append(subtreeConns, state.subtreeConn)
 		}
 	}
 	return revisions, subtreeConns
@@ -100,11 +100,11 @@
 func (r *Relay) recordFollower(c *peer.Conn, req wire.Sync) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	a := followerState{revision: req.Applied, reportedAt: time.Now()}
+	state := followerState{revision: req.Applied, reportedAt: time.Now()}
 	if req.Relays && req.Parent == 0 {
-		a.subtreeConn = c
+		state.subtreeConn = c
 	}
-	r.followers[req.Node] = a
+	r.followers[req.Node] = state
 }
 
 // sync replies with the changes after the caller's revision. While there are none it delays the reply up
--- a/internal/link/peer/frames_test.go
+++ b/internal/link/peer/frames_test.go
@@ -30,14 +30,14 @@
 		in.Write(data)
 		err := newFrameStream(&in, func(byte, []byte) {}).ReadObject(&v)
 		if err == nil && len(v) > MaxFrameBytes {
-			t.Fatalf("accepted a frame of %d bytes, over MaxFrame", len(v))
+			t.Fatalf("accepted a frame of %d bytes, over MaxFrameBytes", len(v))
 		}
 	})
 }
 
-func TestWriteRejectsMessageOverMaxFrame(t *testing.T) {
+func TestWriteRejectsMessageOverMaxFrameBytes(t *testing.T) {
 	var tooLong *FrameTooLongError
 	if err := newFrameStream(&buffer{}, nil).WriteObject(make([]byte, MaxFrameBytes)); !errors.As(err, &tooLong) {
-		t.Fatalf("error = %v, want FrameTooLong", err)
+		t.Fatalf("error = %v, want *FrameTooLongError", err)
 	}
 }
--- a/internal/link/wire/messages.go
+++ b/internal/link/wire/messages.go
@@ -238,8 +238,9 @@
 	Bytes   int64
 	Running int
 	Queued  int
-	// LastUsed is when a request last ended. Loads is the number of loads, Idle the total time loaded
-	// without a request.
+	// LastUsed is when a request last ended, LastWake when the last load started. Loads is the number of
+	// loads, Idle the total time loaded without a request, and ColdP99 the 99th percentile of recent load
+	// times; 0 for none.
 	LastUsed time.Time
 	LastWake time.Time
 	Loads    int64
