--- a/internal/base/conf/load.go
+++ b/internal/base/conf/load.go
@@ -16,7 +16,7 @@
 	"foxtailcroft/internal/core/kinds"
 )
 
-// InvalidSetting reports an invalid field of a settings or resource file.
+// InvalidSetting reports an invalid field of a settings or resource file; Line is 0 if unknown, and Value is empty if the field has none.
 type InvalidSetting struct {
 	File  string
 	Line  int
--- a/internal/base/conf/settings.go
+++ b/internal/base/conf/settings.go
@@ -41,13 +41,14 @@
 	Peers   string `yaml:"Peers" validate:"required,hostname_port"`
 }
 
-// Requests holds the limits of an entry on callers' requests.
+// Requests holds the limits of an entry on callers' requests. DefaultTimeout applies to those that state none.
 type Requests struct {
 	DefaultTimeout kinds.Duration `yaml:"DefaultTimeout" validate:"gt=0"`
 	MaxTimeout     kinds.Duration `yaml:"MaxTimeout" validate:"gt=0"`
 	MaxBodyBytes   int64          `yaml:"MaxBodyBytes" validate:"gt=0,lte=8388608"`
 	MaxHeaderBytes int            `yaml:"MaxHeaderBytes" validate:"gt=0"`
-	MaxInFlight    int            `yaml:"MaxInFlight" validate:"gt=0"`
+	// MaxInFlight is the maximum number of concurrent requests.
+	MaxInFlight int `yaml:"MaxInFlight" validate:"gt=0"`
 }
 
 // WeightStore holds the load limits of the platform's weight store.
@@ -86,7 +87,9 @@
 	// ChecksFence is true if the engine rejects orders with an old fencing token.
 	ChecksFence bool `yaml:"ChecksFence"`
 	// ReportLag is the maximum age of the engine's reports.
-	ReportLag    kinds.Duration `yaml:"ReportLag" validate:"gte=0"`
+	ReportLag kinds.Duration `yaml:"ReportLag" validate:"gte=0"`
+	// OrderTimeout bounds one load, including the wait for its permit, or one attempt of an unload;
+	// ReadAgent replaces 0 by defaultOrderTimeout.
 	OrderTimeout kinds.Duration `yaml:"OrderTimeout" validate:"gte=0"`
 }
 
--- a/internal/base/logs/async_test.go
+++ b/internal/base/logs/async_test.go
@@ -32,8 +32,8 @@
 		g := NewWithT(t)
 		writer := &blockedWriter{unblock: make(chan struct{})}
 		const buffer, lines = 100, 1000
-		b, closeBounded := NewAsyncWriter(writer, buffer)
-		log, err := NewAsync(b, "info", "front-1")
+		asyncWriter, closeWriter := NewAsyncWriter(writer, buffer)
+		log, err := NewAsync(asyncWriter, "info", "front-1")
 		g.Expect(err).NotTo(HaveOccurred())
 		start := time.Now()
 		for i := range lines {
@@ -44,11 +44,11 @@
 		}
 		g.Expect(time.Since(start)).To(BeZero(), "logging waited for the blocked writer")
 		synctest.Wait()
-		urgent, routine := b.Dropped()
+		urgent, routine := asyncWriter.Dropped()
 		g.Expect(urgent).To(BeZero())
 		g.Expect(routine).To(BeNumerically(">=", lines-buffer-1))
 		close(writer.unblock)
-		closeBounded()
+		closeWriter()
 		text := writer.text.String()
 		g.Expect(strings.Count(text, `"failed"`)).To(Equal(lines / 100))
 		afterFailures := text[strings.LastIndex(text, `"failed"`):]
@@ -57,12 +57,13 @@
 }
 
 func BenchmarkBlockedWriter(b *testing.B) {
-	bounded, closeBounded := NewAsyncWriter(&blockedWriter{unblock: make(chan struct{})}, 4096)
-	log, err := NewAsync(bounded, "info", "front-1")
+	asyncWriter, closeWriter := NewAsyncWriter(&blockedWriter{unblock: make(chan struct{})}, 4096)
+	log, err := NewAsync(asyncWriter, "info", "front-1")
 	if err != nil {
 		b.Fatal(err)
 	}
-	_ = closeBounded
+	// Closing would wait for the writer, which stays blocked.
+	_ = closeWriter
 	sugar := log.Sugar()
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
--- a/internal/base/tree/tree.go
+++ b/internal/base/tree/tree.go
@@ -45,7 +45,7 @@
 	cleanups []func()
 }
 
-// New returns an empty tree and a function that cancels the parts' context, runs the
+// New returns a supervisor without parts and a function that cancels the parts' context, runs the
 // clean-ups, newest first, and waits for the parts to end.
 func New(ctx context.Context, log *zap.Logger) (*Supervisor, func()) {
 	ctx, cancel := context.WithCancel(ctx)
@@ -63,7 +63,7 @@
 	})
 }
 
-// KeepRunning starts a part that is restarted with exponential backoff if it returns or panics before the tree is closed.
+// KeepRunning starts a part that is restarted with exponential backoff if it returns or panics before the supervisor is closed.
 func (t *Supervisor) KeepRunning(name string, run func(context.Context)) {
 	t.group.Go(func() {
 		restartDelay := backoff.NewExponentialBackOff()
@@ -110,7 +110,7 @@
 	return t.failed
 }
 
-// OnClose adds a clean-up that runs when the tree is closed, after the parts' context is
+// OnClose adds a clean-up that runs when the supervisor is closed, after the parts' context is
 // canceled and before the clean-ups added earlier.
 func (t *Supervisor) OnClose(fn func()) {
 	t.mu.Lock()
