--- a/internal/back/conns/conns_test.go
+++ b/internal/back/conns/conns_test.go
@@ -68,8 +68,8 @@
 		failed, cut bool
 		reusable    bool
 	}{
-		{"response with a length", own, "mine", false, false, true},
-		{"chunked response", answer("a", "Transfer-Encoding: chunked\r\n", "4\r\nmine\r\n0\r\n\r\n"), "mine", false, false, true},
+		{"plain", own, "mine", false, false, true},
+		{"chunked", answer("a", "Transfer-Encoding: chunked\r\n", "4\r\nmine\r\n0\r\n\r\n"), "mine", false, false, true},
 		{"no length, so the body ends with the connection", answer("a", "", "mine"), "mine", false, false, false},
 		{"server asks to close", answer("a", "Connection: close\r\nContent-Length: 4\r\n", "mine"), "mine", false, false, false},
 		{"body shorter than its length", answer("a", "Content-Length: 9\r\n", "mine"), "mine", false, true, false},
@@ -80,7 +80,7 @@
 		{"a second response follows", own + own, "mine", false, false, false},
 		{"informational response is skipped", "HTTP/1.1 100 Continue\r\n\r\n" + own, "mine", false, false, true},
 		{"response is not HTTP", "\x00\x01garbage\r\n\r\n", "", true, false, false},
-		{"connection closed without a response", "", "", true, false, false},
+		{"nothing", "", "", true, false, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/plat/follow/follower.go
+++ b/internal/plat/follow/follower.go
@@ -72,8 +72,8 @@
 }
 
 // SetPeers sets the source of views while the store is unavailable; call it before Run.
-func (f *Follower) SetPeers(peers Peers) {
-	f.peers = peers
+func (f *Follower) SetPeers(p Peers) {
+	f.peers = p
 }
 
 // State returns the newest state.
