--- a/internal/link/fanout/relay.go
+++ b/internal/link/fanout/relay.go
@@ -164,8 +164,10 @@
 // PullOptions holds the options of a pull.
 type PullOptions struct {
 	// Node is the name under which the relay records the caller as a follower; empty if it should not.
-	Node         string
-	Parent       int
+	Node string
+	// Parent is 0 if the relay is the caller's first parent, 1 if its second.
+	Parent int
+	// HasFollowers is true if other nodes follow the caller.
 	HasFollowers bool
 	// Wait is how long the relay may delay its reply while it has nothing newer.
 	Wait time.Duration
--- a/internal/link/wire/messages.go
+++ b/internal/link/wire/messages.go
@@ -49,6 +49,7 @@
 
 // Run starts an attempt. If the agent already has an attempt with this ID, Run attaches to it instead.
 type Run struct {
+	// Attempt is the ID of the attempt, Request the ID of the caller's request.
 	Attempt string
 	Request string
 	// Remaining is the time left until the caller's deadline.
@@ -59,8 +60,9 @@
 	Adapter string     `json:",omitempty"`
 	Service string     `json:",omitempty"`
 	Plain   *PlainCall `json:",omitempty"`
-	Key     string     `json:",omitempty"`
-	Resume  Resume     `json:",omitzero"`
+	// Key is the caller's idempotency key; empty if there is none.
+	Key    string `json:",omitempty"`
+	Resume Resume `json:",omitzero"`
 	// BodyBytes is the total size of the body, whose parts are sent before the Run.
 	BodyBytes int
 	// Epoch is the agent's epoch as known to the sender. Resent is true if an earlier send may have arrived.
@@ -91,7 +93,7 @@
 	Partition int
 }
 
-// RunReply accepts or refuses an attempt.
+// RunReply accepts an attempt, or refuses it if Refusal is set. Load, Revision and Epoch are those of the agent.
 type RunReply struct {
 	Refusal  *fault.Refusal `json:",omitempty"`
 	Load     Load
@@ -174,6 +176,7 @@
 	Cursor int64
 	// Wait is how long the reply may be delayed while there is nothing newer.
 	Wait time.Duration
+	// Node is the name of the follower; empty if the relay should not record one.
 	Node string
 	// Applied is the revision that the node has in force.
 	Applied int64
@@ -202,14 +205,14 @@
 	Nodes map[string]int64
 }
 
-// Release requests confirmation that a slot is released under a plan at least as new as Revision.
+// Release requests confirmation that slot Number of a model is released under a plan at least as new as Revision.
 type Release struct {
 	Model    string
 	Number   int64
 	Revision int64
 }
 
-// ReleaseReply tells whether the slot is released and, if not, why.
+// ReleaseReply tells whether the slot is released and, if not, the reason.
 type ReleaseReply struct {
 	Released bool
 	Reason   string
@@ -217,15 +220,18 @@
 
 // Report is an agent's state for operators and the planner.
 type Report struct {
-	Node        string
-	Epoch       int64
-	Revision    int64
-	Leaving     bool
+	Node     string
+	Epoch    int64
+	Revision int64
+	Leaving  bool
+	// MemoryBytes is the size of the accelerator memory, UsedBytes the memory of all items that
+	// are or may be in the engine; both are 0 for a plain service.
 	MemoryBytes int64
 	UsedBytes   int64
 	Items       []Item
 	// Cached maps each checkpoint cached at the endpoint to where it is: memory or disk.
 	Cached map[string]string `json:",omitempty"`
+	// Queued is the number of waiting requests.
 	Queued int
 }
 
@@ -250,7 +256,8 @@
 
 // Permit requests a permit to load from the weight store, or returns it if Done is set.
 type Permit struct {
-	Node    string
+	Node string
+	// Item names what is to be loaded; Adapter is true if it is an adapter.
 	Item    string
 	Adapter bool
 	// Remaining is the time until the earliest deadline of the waiting requests.
--- a/internal/plat/fleet/fleet.go
+++ b/internal/plat/fleet/fleet.go
@@ -11,7 +11,7 @@
 	"foxtailcroft/internal/core/fault"
 )
 
-// Instance is one entry of the platform's instance list.
+// Instance is one entry of the platform's instance list; Leaving is true for one that is shutting down.
 type Instance struct {
 	Name    string
 	Role    string
@@ -27,7 +27,9 @@
 }
 
 const (
-	callTimeout   = 2 * time.Second
+	// callTimeout bounds one call.
+	callTimeout = 2 * time.Second
+	// maxReplyBytes limits how much of a response is read.
 	maxReplyBytes = 64 << 20
 )
 
