--- a/internal/link/fanout/relay.go
+++ b/internal/link/fanout/relay.go
@@ -90,7 +90,7 @@
 	return revisions, subtreeConns
 }
 
-// HasFollowers reports whether other nodes follow this node.
+// HasFollowers reports whether other nodes follow this node; it also counts those that expired after the last AppliedRevisions.
 func (r *Relay) HasFollowers() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
