--- a/internal/entry/admin/server.go
+++ b/internal/entry/admin/server.go
@@ -18,7 +18,7 @@
 	"foxtailcroft/internal/plat/ledger"
 )
 
-// The names that take the place of a kind in the path but aren't kinds.
+// The collections that aren't kinds of resources, by their name in the path.
 const (
 	pathAudit  = "Audit"
 	pathStatus = "Status"
@@ -191,7 +191,8 @@
 	writeJSON(w, struct{ Records any }{records})
 }
 
-// serveWatch streams the changes of a kind after a revision, one JSON line each.
+// serveWatch streams the changes of a kind after the revision in the query, which
+// is 0 if absent, one JSON line each.
 func (s *Server) serveWatch(w http.ResponseWriter, r *http.Request, kind kinds.Kind) {
 	after, err := strconv.ParseInt("0"+r.URL.Query().Get("revision"), 10, 64)
 	if err != nil {
@@ -216,6 +217,7 @@
 }
 
 // events returns the changes of a kind after a revision, followed by a bookmark.
+// It skips values that can't be decoded.
 func events(v *view.View, kind kinds.Kind, after int64) []Event {
 	var out []Event
 	for _, e := range v.ChangesSince(after).Entries {
@@ -277,7 +279,7 @@
 	var fields *fault.InvalidFields
 	var conflict *fault.RevisionConflict
 	var missing *fault.NotFoundError
-	var away *fault.Unavailable
+	var unavailable *fault.Unavailable
 	switch {
 	case errors.As(err, &field):
 		status, p.Fields = http.StatusBadRequest, []fault.InvalidField{*field}
@@ -287,7 +289,7 @@
 		status, p.Expected, p.Actual = http.StatusConflict, conflict.Expected, conflict.Actual
 	case errors.As(err, &missing):
 		status = http.StatusNotFound
-	case errors.As(err, &away):
+	case errors.As(err, &unavailable):
 		status = http.StatusServiceUnavailable
 	}
 	w.Header().Set("Content-Type", "application/json")
--- a/internal/entry/admin/status.go
+++ b/internal/entry/admin/status.go
@@ -41,15 +41,22 @@
 	Replicas  []Replica `json:",omitempty"`
 }
 
-// Replica is the state of one slot of a model as its agent reports it.
+// Replica is the state of one slot of a model as its agent reports it. If the
+// agent doesn't answer, Unreachable is true, State is Dormant and the reported
+// values are zero.
 type Replica struct {
-	Endpoint    string
-	Domain      string
-	Decision    plan.SlotState
-	State       string
-	LastWake    time.Time
-	ColdP99     kinds.Duration
-	IdleHours   float64
+	Endpoint string
+	Domain   string
+	// Decision is the slot's state in the plan, State that of the replica in the engine.
+	Decision plan.SlotState
+	State    string
+	// LastWake is when the last load of the model started, ColdP99 the 99th
+	// percentile of its recent load times.
+	LastWake time.Time
+	ColdP99  kinds.Duration
+	// IdleHours is the total time for which the model was loaded without a running request.
+	IdleHours float64
+	// Running and Queued are numbers of requests.
 	Running     int
 	Queued      int
 	Unreachable bool `json:",omitempty"`
@@ -69,14 +76,17 @@
 	Status
 }
 
-// EndpointStatus is the state of one endpoint.
+// EndpointStatus is the state of one endpoint. If its agent doesn't answer,
+// Unreachable is true, and UsedBytes, Queued and Leaving are zero.
 type EndpointStatus struct {
-	Name        string
-	Domain      string
+	Name   string
+	Domain string
+	// Epoch is the fencing token of the endpoint's agent.
 	Epoch       int64
 	Service     string `json:",omitempty"`
 	MemoryBytes int64
 	UsedBytes   int64
+	// Queued is the number of waiting requests.
 	Queued      int
 	Leaving     bool
 	Unreachable bool `json:",omitempty"`
@@ -138,6 +148,7 @@
 	return out
 }
 
+// agentReport returns an agent's report, or an error if it doesn't answer within agentCallTimeout.
 func (r *Reporter) agentReport(ctx context.Context, node plan.Node) (wire.Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, agentCallTimeout)
 	defer cancel()
@@ -150,7 +161,7 @@
 }
 
 // revisionsInForce returns the revision that each node applies, gathered from
-// the relays of each failure domain.
+// the relays of each failure domain. Nodes that no relay knows are absent.
 func (r *Reporter) revisionsInForce(ctx context.Context) map[string]int64 {
 	v := r.holder.View()
 	domains := map[string][]plan.Node{}
@@ -177,6 +188,7 @@
 	return out
 }
 
+// appliedRevisions returns the revisions of the nodes that a relay knows, or nil if it doesn't answer.
 func (r *Reporter) appliedRevisions(ctx context.Context, relay plan.Node) map[string]int64 {
 	ctx, cancel := context.WithTimeout(ctx, agentCallTimeout)
 	defer cancel()
@@ -229,23 +241,23 @@
 // addReplicas adds a model's replicas and their counts to the status.
 func (r *Reporter) addReplicas(v *view.View, model string, reports map[string]wire.Report, st *Status) {
 	for _, slot := range v.Plan(plan.ModelKey(model)).Slots {
-		line := Replica{Endpoint: slot.Endpoint, Domain: slot.Domain, Decision: slot.State, State: "Dormant"}
+		replica := Replica{Endpoint: slot.Endpoint, Domain: slot.Domain, Decision: slot.State, State: "Dormant"}
 		report, ok := reports[slot.Endpoint]
-		line.Unreachable = !ok
+		replica.Unreachable = !ok
 		for _, i := range report.Items {
 			if i.Model == model && i.Adapter == "" {
-				line.State, line.Running, line.Queued = i.State, i.Running, i.Queued
-				line.LastWake, line.ColdP99, line.IdleHours = i.LastWake, kinds.Duration(i.ColdP99), i.Idle.Hours()
+				replica.State, replica.Running, replica.Queued = i.State, i.Running, i.Queued
+				replica.LastWake, replica.ColdP99, replica.IdleHours = i.LastWake, kinds.Duration(i.ColdP99), i.Idle.Hours()
 			}
 		}
 		st.Decided++
-		switch line.State {
+		switch replica.State {
 		case "Loaded", "Unloading":
 			st.Loaded++
 		case "Loading":
 			st.Loading++
 		}
-		st.Replicas = append(st.Replicas, line)
+		st.Replicas = append(st.Replicas, replica)
 	}
 }
 
@@ -270,8 +282,8 @@
 		ready, readyReason = false, "NoEndpoint"
 	}
 	unreachable := 0
-	for _, l := range st.Replicas {
-		if l.Unreachable {
+	for _, replica := range st.Replicas {
+		if replica.Unreachable {
 			unreachable++
 		}
 	}
--- a/internal/entry/admin/writer.go
+++ b/internal/entry/admin/writer.go
@@ -30,7 +30,8 @@
 
 // Put writes a resource if it is valid and the stored one is at the expected
 // revision, and returns it with its generation and revision. An unchanged spec
-// isn't written. A dry run does all checks but doesn't write.
+// isn't written. A dry run does all checks but doesn't write; it returns the
+// generation that the write would give and the stored revision.
 func (w *Writer) Put(ctx context.Context, actor string, r kinds.Resource, expected int64, dryRun bool) (kinds.Resource, error) {
 	if err := kinds.Validate(r); err != nil {
 		return r, err
--- a/internal/entry/caller/chat.go
+++ b/internal/entry/caller/chat.go
@@ -60,15 +60,16 @@
 	if len(chat.Messages) == 0 {
 		return req, chat, fault.NotRun(fault.BadRequest, "field messages must have at least one message")
 	}
-	model, adapter, err := s.resolve(chat.Model)
+	model, adapter, err := s.resolveModel(chat.Model)
 	req.Adapter = adapter
 	req.Target = route.Target{Model: model, Partition: -1, PrefixHash: prefixHash(adapter, chat.Messages)}
 	req.IdempotencyKey = ""
 	return req, chat, err
 }
 
-// resolve returns the model for a requested name, and the adapter if the name is an adapter's.
-func (s *Server) resolve(name string) (model, adapter string, err error) {
+// resolveModel returns the model for a requested name, and the adapter if the name
+// is an adapter's. The error is a NotFound *fault.Refusal if the name is neither's.
+func (s *Server) resolveModel(name string) (model, adapter string, err error) {
 	v := s.holder.View()
 	if _, ok := v.Model(name); ok {
 		return name, "", nil
--- a/internal/entry/caller/refuse.go
+++ b/internal/entry/caller/refuse.go
@@ -46,6 +46,7 @@
 	}
 }
 
+// bodyOf returns the response body for a refusal.
 func bodyOf(r *fault.Refusal) errorBody {
 	var b errorBody
 	b.Error.Code, b.Error.Message, b.Error.NotRun = r.Code, r.Message, r.NotRun
--- a/internal/entry/caller/server.go
+++ b/internal/entry/caller/server.go
@@ -86,7 +86,7 @@
 		return req, fault.NotRun(fault.BadRequest, "header %s: %v", headerClass, err)
 	}
 	req.Class = class
-	timeout, err := s.timeout(r.Header.Get(headerTimeout))
+	timeout, err := s.parseTimeout(r.Header.Get(headerTimeout))
 	if err != nil {
 		return req, err
 	}
@@ -94,8 +94,10 @@
 	return req, nil
 }
 
-// timeout parses the timeout header; an empty one gives the default.
-func (s *Server) timeout(header string) (time.Duration, error) {
+// parseTimeout parses the timeout header; an empty one gives the default. The error
+// is a BadRequest *fault.Refusal unless the header is a whole number of milliseconds
+// from 1 to the maximum.
+func (s *Server) parseTimeout(header string) (time.Duration, error) {
 	if header == "" {
 		return s.settings.DefaultTimeout, nil
 	}
--- a/internal/entry/caller/service.go
+++ b/internal/entry/caller/service.go
@@ -20,7 +20,8 @@
 // maxKeyBytes bounds the length of an idempotency key.
 const maxKeyBytes = 256
 
-// hopByHopHeaders are the headers that apply to one connection and aren't forwarded.
+// hopByHopHeaders are the headers that apply to one connection and aren't
+// forwarded, and Content-Length, which each side sets for the body that it sends.
 var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length",
@@ -111,6 +112,7 @@
 	return nil
 }
 
+// write writes the buffered answer to the caller; a head without a status gives 200.
 func (a *serviceAnswer) write(w http.ResponseWriter, id string, res calls.Result) {
 	h := w.Header()
 	for k, v := range endToEndHeaders(a.head.Header) {
--- a/internal/entry/caller/writer.go
+++ b/internal/entry/caller/writer.go
@@ -24,7 +24,8 @@
 	firstTokenTime *metrics.Histogram
 	text           strings.Builder
 	tokens         int
-	started        bool
+	// started is true once the headers of a streamed answer have been written.
+	started bool
 }
 
 func newChatWriter(w http.ResponseWriter, id string, chat chatBody, began time.Time, firstTokenTime *metrics.Histogram) *chatWriter {
--- a/internal/entry/calls/attempt.go
+++ b/internal/entry/calls/attempt.go
@@ -48,7 +48,8 @@
 	conn       *peer.Conn
 	// endConnWork marks conn as having no more work for this attempt.
 	endConnWork func()
-	sent        bool
+	// sent is true once the agent may have received the Run.
+	sent bool
 	// settleMargin is the time between the context's deadline and the caller's,
 	// in which the attempt is revoked.
 	settleMargin time.Duration
@@ -237,11 +238,12 @@
 	return "entry shut down before the request ended"
 }
 
-// settle ends an attempt whose context is done. Unless the caller has gone, it
-// revokes the attempt to find out whether it certainly didn't run.
+// settle ends an attempt whose context is done. At the deadline or the entry's
+// shutdown it revokes the attempt to find out whether it certainly didn't run; if
+// the caller has gone, it abandons the attempt.
 func (a *attempt) settle(ctx context.Context) outcome {
-	var cutOff *ShutdownError
-	if errors.Is(ctx.Err(), context.Canceled) && !errors.As(context.Cause(ctx), &cutOff) {
+	var shutdown *ShutdownError
+	if errors.Is(ctx.Err(), context.Canceled) && !errors.As(context.Cause(ctx), &shutdown) {
 		return a.abandon(fault.Failed(fault.Canceled, "the caller has gone"))
 	}
 	if a.revoke(a.settleMargin / 2) {
--- a/internal/entry/calls/dispatch.go
+++ b/internal/entry/calls/dispatch.go
@@ -89,7 +89,7 @@
 	s := &endpointSearch{tried: map[string]bool{}, delay: minSearchDelay}
 	delivered := &progress{}
 	var res Result
-	for res.Attempts < retry.MaxAttempts && s.next(ctx, d, req) {
+	for res.Attempts < retry.MaxAttempts && s.nextEndpoint(ctx, d, req) {
 		res.Attempts++
 		out := d.runAttempt(ctx, req, s.node, delivered, sink, settleMargin)
 		if out.refusal == nil {
--- a/internal/entry/calls/inbox_test.go
+++ b/internal/entry/calls/inbox_test.go
@@ -20,12 +20,12 @@
 		text    string
 		missing bool
 	}{
-		{"in order", []int{0, 1, 2}, "one two three", false},
-		{"doubled", []int{0, 0, 1, 1, 0, 2, 2}, "one two three", false},
-		{"sent again from the start", []int{0, 1, 0, 1, 2}, "one two three", false},
-		{"one missing", []int{0, 2}, "one ", true},
-		{"truncated", []int{0, 1}, "one two ", true},
-		{"no piece arrived", nil, "", true},
+		{"pieces in order: whole", []int{0, 1, 2}, "one two three", false},
+		{"duplicated pieces: whole without repeats", []int{0, 0, 1, 1, 0, 2, 2}, "one two three", false},
+		{"sent again from the start: whole without repeats", []int{0, 1, 0, 1, 2}, "one two three", false},
+		{"gap: nothing after it, reported as missing", []int{0, 2}, "one ", true},
+		{"last piece lost: reported as missing", []int{0, 1}, "one two ", true},
+		{"no piece arrived: reported as missing", nil, "", true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/entry/calls/search.go
+++ b/internal/entry/calls/search.go
@@ -17,18 +17,24 @@
 
 // endpointSearch chooses the endpoints of one request's attempts, one after another.
 type endpointSearch struct {
-	node        plan.Node
-	tried       map[string]bool
-	redirectTo  string
+	// node is the endpoint of the present attempt.
+	node plan.Node
+	// tried holds the endpoints tried in this round.
+	tried map[string]bool
+	// redirectTo is the endpoint that the last refusal names; empty for none.
+	redirectTo string
+	// lastRefusal is the last attempt's refusal; nil before the first.
 	lastRefusal *fault.Refusal
-	delay       time.Duration
+	// delay is the wait before the next round.
+	delay time.Duration
 }
 
-// next sets node to the endpoint of the next attempt: the one that the last
+// nextEndpoint sets node to the endpoint of the next attempt: the one that the last
 // refusal redirects to, else the best one not tried yet, else any again after a
 // backoff. It reports false if the retry budget, the deadline or the last refusal
-// forbids another attempt.
-func (s *endpointSearch) next(ctx context.Context, d *Dispatcher, req Request) bool {
+// forbids another attempt. An attempt is charged to the retry budget if an earlier
+// one may have run.
+func (s *endpointSearch) nextEndpoint(ctx context.Context, d *Dispatcher, req Request) bool {
 	if s.lastRefusal != nil && !s.lastRefusal.NotRun && !d.spendRetry() {
 		return false
 	}
--- a/internal/entry/grants/server.go
+++ b/internal/entry/grants/server.go
@@ -10,17 +10,17 @@
 	"foxtailcroft/internal/policy/permit"
 )
 
-// PermitServer grants and takes back permits by peer calls.
+// PermitServer grants permits and takes them back, both by peer calls.
 type PermitServer struct {
-	mu    sync.Mutex
-	queue *permit.Limiter
+	mu      sync.Mutex
+	limiter *permit.Limiter
 	// grantSignals holds, by request ID, the channel that is closed when the permit is granted.
 	grantSignals map[string]chan struct{}
 }
 
 // New returns a permit server with all permits free, registered on the mux.
 func New(limits permit.Limits, mux *peer.Mux) *PermitServer {
-	s := &PermitServer{queue: permit.NewLimiter(limits, time.Now()), grantSignals: map[string]chan struct{}{}}
+	s := &PermitServer{limiter: permit.NewLimiter(limits, time.Now()), grantSignals: map[string]chan struct{}{}}
 	peer.OnCall(mux, wire.MethodPermit, s.serve)
 	return s
 }
@@ -32,13 +32,13 @@
 	if p.Done {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.queue.Release(id)
+		s.limiter.Release(id)
 		s.grantDue(time.Now())
 		return wire.PermitReply{}, nil
 	}
 	granted := make(chan struct{})
 	s.mu.Lock()
-	s.queue.Enqueue(permit.Request{ID: id, Adapter: p.Adapter, Rank: p.Class.Rank(), Deadline: time.Now().Add(p.Remaining)})
+	s.limiter.Enqueue(permit.Request{ID: id, Adapter: p.Adapter, Rank: p.Class.Rank(), Deadline: time.Now().Add(p.Remaining)})
 	s.grantSignals[id] = granted
 	s.mu.Unlock()
 	return s.waitForGrant(ctx, c, id, granted), nil
@@ -50,7 +50,7 @@
 	for {
 		s.mu.Lock()
 		s.grantDue(time.Now())
-		wakeIn := s.queue.RetryIn(time.Now())
+		wakeIn := s.limiter.RetryIn(time.Now())
 		s.mu.Unlock()
 		var timer <-chan time.Time
 		if wakeIn > 0 {
@@ -72,8 +72,8 @@
 func (s *PermitServer) withdraw(id string) wire.PermitReply {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.queue.Cancel(id)
-	s.queue.Release(id)
+	s.limiter.Cancel(id)
+	s.limiter.Release(id)
 	delete(s.grantSignals, id)
 	return wire.PermitReply{}
 }
@@ -81,7 +81,7 @@
 // grantDue grants the requests that are due at now and wakes their callers; the
 // caller must hold mu.
 func (s *PermitServer) grantDue(now time.Time) {
-	for _, a := range s.queue.Grant(now) {
+	for _, a := range s.limiter.Grant(now) {
 		if granted := s.grantSignals[a.ID]; granted != nil {
 			close(granted)
 			delete(s.grantSignals, a.ID)
--- a/internal/entry/placer/endpoints.go
+++ b/internal/entry/placer/endpoints.go
@@ -15,7 +15,7 @@
 }
 
 // newEndpointSet returns the engine endpoints that aren't leaving, each with the
-// memory promised to its planned slots.
+// memory reserved for its planned slots.
 func newEndpointSet(v *view.View, leaving map[string]bool, cacheTiers map[string]map[string]string) *endpointSet {
 	set := &endpointSet{byName: map[string]*place.Endpoint{}, cacheTiers: cacheTiers}
 	for name, n := range v.Nodes() {
@@ -25,7 +25,7 @@
 	}
 	for name, m := range v.Models() {
 		for _, s := range v.Plan(plan.ModelKey(name)).Slots {
-			set.addPromised(s.Endpoint, m.Model.MemoryBytes)
+			set.addReserved(s.Endpoint, m.Model.MemoryBytes)
 		}
 	}
 	return set
@@ -36,8 +36,8 @@
 	return n.Role == plan.Agent && n.Back == plan.EngineEndpoint
 }
 
-// addPromised adds bytes to the memory promised on an endpoint, if the set has it.
-func (set *endpointSet) addPromised(endpoint string, bytes int64) {
+// addReserved adds bytes to the memory reserved on an endpoint, if the set has it.
+func (set *endpointSet) addReserved(endpoint string, bytes int64) {
 	if e := set.byName[endpoint]; e != nil {
 		e.ReservedBytes += bytes
 	}
@@ -48,10 +48,10 @@
 
 // chooseEndpoint returns the endpoint for one more slot of a model, or false if none fits.
 func (set *endpointSet) chooseEndpoint(m kinds.Resource, p plan.Plan) (place.Endpoint, bool) {
-	need := place.Request{Model: m.Name, Bytes: m.Model.MemoryBytes, AllowedDomains: m.Model.Domains}
+	request := place.Request{Model: m.Name, Bytes: m.Model.MemoryBytes, AllowedDomains: m.Model.Domains}
 	for _, s := range p.Slots {
-		need.UsedDomains = append(need.UsedDomains, s.Domain)
-		need.UsedEndpoints = append(need.UsedEndpoints, s.Endpoint)
+		request.UsedDomains = append(request.UsedDomains, s.Domain)
+		request.UsedEndpoints = append(request.UsedEndpoints, s.Endpoint)
 	}
 	candidates := make([]place.Endpoint, 0, len(set.byName))
 	for name, e := range set.byName {
@@ -59,12 +59,13 @@
 		candidate.CheckpointTier = cacheTierRanks[set.cacheTiers[name][m.Name]]
 		candidates = append(candidates, candidate)
 	}
-	return place.Choose(need, candidates)
+	return place.Choose(request, candidates)
 }
 
 // markReleasing sets the state Releasing on slots above MaxReplicas and on slots
 // that no longer fit their endpoint. A slot that doesn't fit but whose domain is
-// still allowed stays until another endpoint can replace it.
+// still allowed stays until another endpoint can replace it. It returns the plan
+// and the audit action, which is the given one if no slot was marked.
 func (set *endpointSet) markReleasing(m kinds.Resource, p plan.Plan, action string) (plan.Plan, string) {
 	active := p.ActiveSlots()
 	for len(active) > m.Model.MaxReplicas {
--- a/internal/entry/placer/lease.go
+++ b/internal/entry/placer/lease.go
@@ -10,7 +10,9 @@
 )
 
 const (
-	leaseTTL      = 9 * time.Second
+	// leaseTTL is how long the planner's lease lasts without a renewal.
+	leaseTTL = 9 * time.Second
+	// renewInterval is the shortest time between renewals, and the pause between tries to acquire the lease.
 	renewInterval = 3 * time.Second
 	// planInterval is the longest time between planning steps when the configuration doesn't change.
 	planInterval = 2 * time.Second
--- a/internal/entry/placer/placer.go
+++ b/internal/entry/placer/placer.go
@@ -37,11 +37,13 @@
 	// unreachableSince when it first couldn't be reached.
 	missingSince     map[string]time.Time
 	unreachableSince map[string]time.Time
-	leaving          map[string]bool
+	// leaving holds the instances that the list shows as leaving.
+	leaving map[string]bool
 	// cacheTiers holds, by endpoint and model, where the checkpoint is cached.
 	// lastPolled is the endpoint polled last for it.
 	cacheTiers map[string]map[string]string
 	lastPolled string
+	// listReadAt is when the platform's list was last read without an error; zero before that.
 	listReadAt time.Time
 }
 
@@ -196,7 +198,7 @@
 			break
 		}
 		after, action = after.WithSlot(e.Name, e.Domain), "SlotDecided"
-		endpoints.addPromised(e.Name, m.Model.MemoryBytes)
+		endpoints.addReserved(e.Name, m.Model.MemoryBytes)
 	}
 	if action != "" {
 		p.writeDecision(ctx, v, key, after, action)
--- a/internal/entry/route/table.go
+++ b/internal/entry/route/table.go
@@ -45,9 +45,10 @@
 // Table is an entry's record of its endpoints. It learns only of the endpoints
 // that the entry itself sends to.
 type Table struct {
-	domain        string
-	mu            sync.Mutex
-	loads         map[loadKey]*knownLoad
+	domain string
+	mu     sync.Mutex
+	loads  map[loadKey]*knownLoad
+	// unreachableAt holds when each endpoint last couldn't be reached, until it reports a load.
 	unreachableAt map[string]time.Time
 	// leavingEpochs holds the highest epoch in which each endpoint announced that it is leaving.
 	leavingEpochs map[string]int64
@@ -174,7 +175,8 @@
 	return node, true
 }
 
-// pickReplica returns the known state of a target at a node; the caller must hold mu.
+// pickReplica returns the known state of a target at a node; the caller must hold
+// mu. Before the first report, a model counts as not loaded and the capacity as 1.
 func (t *Table) pickReplica(node plan.Node, target Target) pick.Replica {
 	r := pick.Replica{Endpoint: node.Name, SameDomain: node.Domain == t.domain, Loaded: target.Service != "", Capacity: 1}
 	k := t.loads[loadKey{node.Name, target.loadName()}]
@@ -189,7 +191,7 @@
 }
 
 // BestWait returns the shortest forecast wait over the loaded replicas of a
-// target, with that replica's service time; ok is false if none is known to be loaded.
+// target, with that replica's mean service time; ok is false if none is known to be loaded.
 func (t *Table) BestWait(v *view.View, target Target) (wait, service time.Duration, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
