--- a/internal/agent/claim/log.go
+++ b/internal/agent/claim/log.go
@@ -62,13 +62,20 @@
 	group     tasks.Group
 	ctx       context.Context
 
-	mu            sync.Mutex
-	records       map[string]*record
+	mu sync.Mutex
+	// records holds the known keys.
+	records map[string]*record
+	// ownerRevision is the owner key's revision since this log's takeover.
 	ownerRevision int64
-	nextSequence  int64
-	leaseID       int64
-	leaseRenewAt  time.Time
-	owned         bool
+	// nextSequence is the sequence number of the next batch.
+	nextSequence int64
+	// leaseID is the store lease for new batches, 0 before the first; it is
+	// replaced by a new one after leaseRenewAt.
+	leaseID      int64
+	leaseRenewAt time.Time
+	// owned is true from a takeover until a write shows another owner.
+	owned bool
+	// takeoverDone is closed when the running takeover ends; nil if none is running.
 	takeoverDone  chan struct{}
 	pending       []*pendingClaim
 	writerRunning bool
--- a/internal/agent/claim/open.go
+++ b/internal/agent/claim/takeover.go
@@ -11,7 +11,8 @@
 )
 
 // ensureOwned takes the partition over unless this log owns it: it rewrites the
-// owner key, after which no previous owner can append, and replays the log.
+// owner key, after which no previous owner can append, and replays the log. The
+// error is a StoreAway *fault.Refusal if the takeover fails or ctx ends first.
 func (l *Log) ensureOwned(ctx context.Context) error {
 	for {
 		l.mu.Lock()
--- a/internal/agent/claim/write.go
+++ b/internal/agent/claim/write.go
@@ -137,14 +137,14 @@
 // be claimed by its next call.
 func (l *Log) resolveUnconfirmed(ctx context.Context) error {
 	l.mu.Lock()
-	d := l.unconfirmed
+	previous := l.unconfirmed
 	l.mu.Unlock()
-	if d == nil {
+	if previous == nil {
 		return nil
 	}
 	callCtx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
-	kv, found, err := l.store.Get(callCtx, d.key)
+	kv, found, err := l.store.Get(callCtx, previous.key)
 	if err != nil {
 		return fault.NotRun(fault.StoreAway, "the claim log cannot be read: %v", err)
 	}
@@ -154,7 +154,7 @@
 	if !found {
 		return nil
 	}
-	if decodeBatch(kv.Value).Nonce != d.batch.Nonce {
+	if decodeBatch(kv.Value).Nonce != previous.batch.Nonce {
 		return l.loseOwnership()
 	}
 	l.nextSequence++
--- a/internal/agent/fence/guard.go
+++ b/internal/agent/fence/guard.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// beatPeriod is the interval between beats while the process runs.
-	beatPeriod = 200 * time.Millisecond
-	// pauseThreshold is the gap between two beats above which the process counts as paused.
+	// heartbeatPeriod is the interval between heartbeats while the process runs.
+	heartbeatPeriod = 200 * time.Millisecond
+	// pauseThreshold is the gap between two heartbeats above which the process counts as paused.
 	pauseThreshold = time.Second
 	// confirmTimeout bounds the store call that confirms the epoch.
 	confirmTimeout = 2 * time.Second
@@ -25,16 +25,16 @@
 	store store.Store
 	node  string
 
-	mu       sync.Mutex
-	epoch    int64
-	lastBeat time.Time
+	mu            sync.Mutex
+	epoch         int64
+	lastHeartbeat time.Time
 	// unconfirmed is set by a pause until the store has confirmed the epoch.
 	unconfirmed bool
 }
 
-// New returns a guard of a node's epoch.
+// New returns a guard of a node's epoch, which is 0 until SetEpoch is called.
 func New(s store.Store, node string) *Guard {
-	return &Guard{store: s, node: node, lastBeat: time.Now()}
+	return &Guard{store: s, node: node, lastHeartbeat: time.Now()}
 }
 
 // SetEpoch sets the epoch under which the process took the endpoint over.
@@ -44,33 +44,34 @@
 	g.epoch = epoch
 }
 
-// Run records a beat every beatPeriod until the context ends.
+// Run records a heartbeat every heartbeatPeriod until the context ends.
 func (g *Guard) Run(ctx context.Context) {
-	tick := time.NewTicker(beatPeriod)
+	tick := time.NewTicker(heartbeatPeriod)
 	defer tick.Stop()
 	for {
 		select {
 		case <-tick.C:
-			g.recordBeat(time.Now())
+			g.recordHeartbeat(time.Now())
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// recordBeat records that the process runs now, and marks the epoch as
-// unconfirmed if the process was paused since the last beat.
-func (g *Guard) recordBeat(now time.Time) {
+// recordHeartbeat records that the process runs now, and marks the epoch as
+// unconfirmed if the process was paused since the last heartbeat.
+func (g *Guard) recordHeartbeat(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.unconfirmed = g.unconfirmed || now.Sub(g.lastBeat) > pauseThreshold
-	g.lastBeat = now
+	g.unconfirmed = g.unconfirmed || now.Sub(g.lastHeartbeat) > pauseThreshold
+	g.lastHeartbeat = now
 }
 
 // CheckEpoch returns nil if an order may be sent. After a pause it first confirms the
-// epoch with the store and returns an *engine.Fenced if the epoch is no longer current.
+// epoch with the store; it returns an *engine.Fenced if the epoch is no longer
+// current, and the store's error if the epoch can't be read.
 func (g *Guard) CheckEpoch(ctx context.Context) error {
-	g.recordBeat(time.Now())
+	g.recordHeartbeat(time.Now())
 	g.mu.Lock()
 	unconfirmed, epoch := g.unconfirmed, g.epoch
 	g.mu.Unlock()
--- a/internal/agent/fence/guard_test.go
+++ b/internal/agent/fence/guard_test.go
@@ -50,7 +50,7 @@
 				writeNodeRecord(g, s, 1)
 				guard := New(s, "e")
 				guard.SetEpoch(1)
-				// A paused process records no beats: guard.Run is not started.
+				// A paused process records no heartbeats: guard.Run is not started.
 				time.Sleep(c.pause)
 				if c.hasSuccessor {
 					writeNodeRecord(g, s, 2)
--- a/internal/agent/limit/doc.go
+++ b/internal/agent/limit/doc.go
@@ -1,2 +1,2 @@
-// Package limit limits the number of concurrent calls at a plain service's endpoint.
+// Package limit bounds the number of concurrent calls at a plain service's endpoint.
 package limit
--- a/internal/agent/permit/client.go
+++ b/internal/agent/permit/client.go
@@ -21,7 +21,8 @@
 	maxPermitWait = 20 * time.Second
 	// maxAdapterPermitWait is the same bound for adapters, whose loads take milliseconds.
 	maxAdapterPermitWait = 500 * time.Millisecond
-	releaseTimeout       = 2 * time.Second
+	// releaseTimeout bounds the call that gives a permit back.
+	releaseTimeout = 2 * time.Second
 )
 
 // Client requests permits from the entries of the agent's region.
--- a/internal/agent/queue/queue.go
+++ b/internal/agent/queue/queue.go
@@ -91,6 +91,7 @@
 
 // MayStart reports whether a request of the class may start, given the running
 // requests, those of the patient class among them, and the maximum concurrency.
+// One patient request may always run, also where its class's share rounds down to 0.
 func MayStart(c kinds.Class, running, patientRunning, capacity int) bool {
 	if running >= capacity {
 		return false
--- a/internal/agent/runs/attempt.go
+++ b/internal/agent/runs/attempt.go
@@ -34,26 +34,29 @@
 	// heldBytes is the registry's count of the bytes of bodies and kept answers.
 	heldBytes *atomic.Int64
 
-	mu          sync.Mutex
-	phase       phase
-	pieces      []wire.Piece
+	mu     sync.Mutex
+	phase  phase
+	pieces []wire.Piece
+	// answerBytes is the size of the data in pieces.
 	answerBytes int
 	digest      *xxhash.Digest
 	done        *wire.Done
 	// endedAt is when the answer was completed.
 	endedAt time.Time
-	conn    *peer.Conn
-	acked   bool
+	// conn is the connection of the attached entry, nil for none.
+	conn *peer.Conn
+	// acked is true once the entry has acknowledged the answer.
+	acked bool
 }
 
-// collectTimeout is how long a stopping agent waits for an entry to acknowledge an answer.
-const collectTimeout = 5 * time.Second
+// ackTimeout is how long a stopping agent waits for an entry to acknowledge an answer.
+const ackTimeout = 5 * time.Second
 
 // isAwaited reports whether the attempt has not ended or its answer may still be acknowledged.
 func (a *Attempt) isAwaited(now time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.phase != ended || (!a.acked && now.Sub(a.endedAt) < collectTimeout)
+	return a.phase != ended || (!a.acked && now.Sub(a.endedAt) < ackTimeout)
 }
 
 // Begin moves a pending attempt to running; it reports false if the attempt was revoked.
--- a/internal/agent/runs/registry.go
+++ b/internal/agent/runs/registry.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// answerRetention is how long an answer is kept past its deadline for an entry that sends its Run again late.
+	// answerRetention is how long an answer is kept past the attempt's deadline for an entry that sends its Run again late.
 	answerRetention = 2 * time.Second
 	// tombstoneRetention is how long the ids of ended and revoked attempts are remembered.
 	tombstoneRetention = 10 * time.Minute
@@ -24,7 +24,8 @@
 	maxHeldBytes = 48 << 20
 	// maxBodyBytes bounds one request's body.
 	maxBodyBytes = 8 << 20
-	sweepPeriod  = 5 * time.Second
+	// sweepPeriod is the interval between removals of what has expired.
+	sweepPeriod = 5 * time.Second
 )
 
 // body is a request's body whose Run has not arrived yet.
@@ -98,8 +99,8 @@
 	if a, ok := r.attempts[run.Attempt]; ok {
 		return a, false, nil
 	}
-	if m, ok := r.tombstones[run.Attempt]; ok {
-		return nil, false, &fault.Refusal{Code: fault.Revoked, Message: "attempt " + run.Attempt + " is over", NotRun: !m.mayHaveRun}
+	if t, ok := r.tombstones[run.Attempt]; ok {
+		return nil, false, &fault.Refusal{Code: fault.Revoked, Message: "attempt " + run.Attempt + " is over", NotRun: !t.mayHaveRun}
 	}
 	if run.Remaining <= 0 {
 		return nil, false, fault.NotRun(fault.DeadlineExceeded, "attempt %s came after its deadline", run.Attempt)
@@ -135,11 +136,11 @@
 	a, ok := r.attempts[id]
 	if !ok {
 		defer r.mu.Unlock()
-		m, known := r.tombstones[id]
+		t, known := r.tombstones[id]
 		if !known {
 			r.tombstones[id] = tombstone{recordedAt: time.Now()}
 		}
-		return !m.mayHaveRun
+		return !t.mayHaveRun
 	}
 	r.mu.Unlock()
 	return a.revoke()
@@ -224,8 +225,8 @@
 			delete(r.bodies, id)
 		}
 	}
-	for id, m := range r.tombstones {
-		if now.Sub(m.recordedAt) > tombstoneRetention {
+	for id, t := range r.tombstones {
+		if now.Sub(t.recordedAt) > tombstoneRetention {
 			delete(r.tombstones, id)
 		}
 	}
--- a/internal/agent/slots/acquire.go
+++ b/internal/agent/slots/acquire.go
@@ -245,6 +245,7 @@
 	return m.replicaLoad(m.replicas[model], *res.Model)
 }
 
+// replicaLoad returns the load of a replica; r is nil if there is none. The caller holds the lock.
 func (m *Manager) replicaLoad(r *replica, spec kinds.ModelSpec) wire.Load {
 	l := wire.Load{Capacity: spec.ConcurrencyLimit(), Cold: spec.ColdStart.Std()}
 	if r == nil {
--- a/internal/agent/slots/fence_test.go
+++ b/internal/agent/slots/fence_test.go
@@ -20,9 +20,9 @@
 	delay time.Duration
 }
 
-func (l delayedEngine) Load(_ context.Context, o engine.Order) error {
-	time.Sleep(l.delay)
-	return l.Engine.Load(context.Background(), o)
+func (e delayedEngine) Load(_ context.Context, o engine.Order) error {
+	time.Sleep(e.delay)
+	return e.Engine.Load(context.Background(), o)
 }
 
 type noopPermits struct{}
--- a/internal/agent/slots/item.go
+++ b/internal/agent/slots/item.go
@@ -85,16 +85,18 @@
 // replica is a model's replica at this endpoint with its adapters and queued requests.
 type replica struct {
 	item
-	spec           kinds.ModelSpec
-	adapters       map[string]*item
-	queue          queue.Queue
+	spec     kinds.ModelSpec
+	adapters map[string]*item
+	queue    queue.Queue
+	// patientRunning is the number of running requests of the patient class.
 	patientRunning int
 	// idleGaps records the times from lastRequestEnd to the next arrival.
 	// lastRequestEnd is first set at the end of the first load or at adoption.
 	idleGaps       idle.Gaps
 	lastRequestEnd time.Time
 	// coldWaits estimates the sum of all requests' waits in one cold start.
-	coldWaits       idle.BurstWait
+	coldWaits idle.BurstWait
+	// meanServiceTime is a moving average of the requests' run times; 0 before the first request ends.
 	meanServiceTime time.Duration
 	// requestCount counts requests; coldRequestCount counts those that had to wait for a load.
 	requestCount     int64
@@ -102,7 +104,10 @@
 	// releasing refuses new requests while the slot is not active.
 	releasing bool
 	// retryAt is the earliest time of the next load after a failed one.
-	retryAt       time.Time
+	retryAt time.Time
+	// loadFailures counts the failed loads of the model and its adapters since the
+	// last that succeeded, and lastLoadError is the last one's error; 0 and empty
+	// after a success.
 	loadFailures  int
 	lastLoadError string
 }
--- a/internal/agent/slots/manager.go
+++ b/internal/agent/slots/manager.go
@@ -55,8 +55,8 @@
 	replicas map[string]*replica
 	// strays are items that the engine holds and no replica here accounts for.
 	strays map[engine.Item]*item
-	// cached gives by model where the engine has its checkpoint, "memory" or "disk", by its last report.
-	cached map[string]string
+	// cacheTiers holds, by model, where the engine caches the checkpoint, "memory" or "disk", as of its last report.
+	cacheTiers map[string]string
 	// loadsAllowed is set once the plan has been read from the store itself.
 	loadsAllowed bool
 	deposed      bool
--- a/internal/agent/slots/orders.go
+++ b/internal/agent/slots/orders.go
@@ -193,7 +193,7 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.cached = report.Cached
+	m.cacheTiers = report.Cached
 	reported := map[engine.Item]bool{}
 	for _, h := range report.Items {
 		reported[h.Item] = true
--- a/internal/agent/slots/reconcile.go
+++ b/internal/agent/slots/reconcile.go
@@ -13,7 +13,8 @@
 	"foxtailcroft/internal/policy/idle"
 )
 
-// reconcile starts the loads, unloads and requests that the view, the queues and the time call for.
+// reconcile starts the loads, unloads and requests that the view, the queues and
+// the time call for. The caller holds the lock.
 func (m *Manager) reconcile(now time.Time) {
 	if m.closed {
 		return
@@ -110,6 +111,8 @@
 	return now.Sub(r.lastRequestEnd) < keepAlive
 }
 
+// expectedLoadTime returns the mean load time of the replica, or the model's
+// declared ColdStart before the first load.
 func (m *Manager) expectedLoadTime(r *replica) time.Duration {
 	if r.meanLoadTime > 0 {
 		return r.meanLoadTime
@@ -164,6 +167,7 @@
 	w.Resolve(nil)
 }
 
+// adapterLoaded reports whether the adapter is loaded; true for an empty name.
 func (m *Manager) adapterLoaded(r *replica, adapter string) bool {
 	if adapter == "" {
 		return true
@@ -333,6 +337,7 @@
 // adapterSeparator separates the model's name from the adapter's in a candidate's name.
 const adapterSeparator = "+"
 
+// adapterQueued reports whether a queued request needs the adapter.
 func (m *Manager) adapterQueued(r *replica, adapter string) bool {
 	found := false
 	r.queue.Each(func(w *queue.Waiter) { found = found || w.Adapter == adapter })
--- a/internal/agent/slots/report.go
+++ b/internal/agent/slots/report.go
@@ -46,7 +46,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := time.Now()
-	out.MemoryBytes, out.UsedBytes, out.Cached = m.settings.MemoryBytes, m.usedBytes(), m.cached
+	out.MemoryBytes, out.UsedBytes, out.Cached = m.settings.MemoryBytes, m.usedBytes(), m.cacheTiers
 	for _, r := range m.replicas {
 		line := reportItem(&r.item, now)
 		line.Model, line.Queued = r.name.Model, r.queue.Len()
@@ -66,6 +66,7 @@
 	})
 }
 
+// reportItem returns an item's line of the report; its idle time counts up to now.
 func reportItem(i *item, now time.Time) wire.Item {
 	line := wire.Item{
 		Model: i.name.Model, Adapter: i.name.Adapter, Version: i.name.Version, State: i.phase.String(), Bytes: i.bytes,
--- a/internal/agent/worker/worker.go
+++ b/internal/agent/worker/worker.go
@@ -40,9 +40,10 @@
 	Plain   plain.Service
 	Store   store.Store
 
-	group     tasks.Group
-	draining  atomic.Bool
-	mu        sync.Mutex
+	group    tasks.Group
+	draining atomic.Bool
+	mu       sync.Mutex
+	// claimLogs holds the claim logs by partition, and stopFuncs the functions that stop them.
 	claimLogs map[int]*claim.Log
 	stopFuncs []func()
 }
@@ -57,7 +58,7 @@
 	})
 }
 
-// Drain refuses new attempts from now on.
+// Drain makes the worker refuse attempts from now on, except those that an entry sends again.
 func (w *Worker) Drain() {
 	w.draining.Store(true)
 }
@@ -103,6 +104,7 @@
 	return w.runReply(run, nil), nil
 }
 
+// runReply returns the reply to a Run; refusal is nil if the attempt was accepted.
 func (w *Worker) runReply(run wire.Run, refusal *fault.Refusal) wire.RunReply {
 	return wire.RunReply{Refusal: refusal, Load: w.currentLoad(run), Revision: w.Holder.View().Revision(), Epoch: w.Incarnation}
 }
@@ -116,6 +118,7 @@
 	}
 }
 
+// currentLoad returns the load of what the attempt runs on.
 func (w *Worker) currentLoad(run wire.Run) wire.Load {
 	if w.Limiter != nil {
 		return w.Limiter.Load()
--- a/internal/entry/calls/inbox_test.go
+++ b/internal/entry/calls/inbox_test.go
@@ -21,10 +21,10 @@
 		missing bool
 	}{
 		{"pieces in order: whole", []int{0, 1, 2}, "one two three", false},
-		{"duplicated pieces: whole without repeats", []int{0, 0, 1, 1, 0, 2, 2}, "one two three", false},
+		{"doubled", []int{0, 0, 1, 1, 0, 2, 2}, "one two three", false},
 		{"sent again from the start: whole without repeats", []int{0, 1, 0, 1, 2}, "one two three", false},
 		{"gap: nothing after it, reported as missing", []int{0, 2}, "one ", true},
-		{"last piece lost: reported as missing", []int{0, 1}, "one two ", true},
+		{"truncated", []int{0, 1}, "one two ", true},
 		{"no piece arrived: reported as missing", nil, "", true},
 	}
 	for _, c := range cases {
