--- a/internal/agent/runs/attempt.go
+++ b/internal/agent/runs/attempt.go
@@ -29,8 +29,9 @@
 	Body []byte
 	// Deadline is the caller's deadline by this agent's clock.
 	Deadline time.Time
-	Ctx      context.Context
-	cancel   context.CancelCauseFunc
+	// Ctx is canceled, with a *fault.Refusal as its cause, to stop the attempt on a revocation or Abort.
+	Ctx    context.Context
+	cancel context.CancelCauseFunc
 	// heldBytes is the registry's count of the bytes of bodies and kept answers.
 	heldBytes *atomic.Int64
 
@@ -70,7 +71,9 @@
 	return true
 }
 
-// Emit adds a piece to the answer and sends it to the attached entry.
+// Emit adds a piece to the answer and sends it to the attached entry. tokens is the
+// number of tokens in data, 0 for a plain service; head is nil except in a plain
+// service's first piece.
 func (a *Attempt) Emit(tokens int, data []byte, head *wire.PlainHead) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -119,13 +122,13 @@
 	}
 }
 
-// attach sends the answer, starting at piece from, to the connection and makes it
-// the one to which further pieces are sent.
-func (a *Attempt) attach(c *peer.Conn, from int) {
+// attach sends the answer, starting at piece firstSeq, to the connection and makes
+// it the one to which further pieces are sent.
+func (a *Attempt) attach(c *peer.Conn, firstSeq int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.conn = c
-	for _, p := range a.pieces[min(from, len(a.pieces)):] {
+	for _, p := range a.pieces[min(firstSeq, len(a.pieces)):] {
 		a.sendPiece(p)
 	}
 	if a.done != nil {
--- a/internal/entry/calls/dispatch.go
+++ b/internal/entry/calls/dispatch.go
@@ -21,11 +21,13 @@
 
 // Dispatcher sends requests to endpoints, retries them, and relays their answers.
 type Dispatcher struct {
-	holder           *view.Holder
-	pool             *peer.Pool
-	table            *route.Table
-	log              *zap.Logger
-	background       tasks.Group
+	holder     *view.Holder
+	pool       *peer.Pool
+	table      *route.Table
+	log        *zap.Logger
+	background tasks.Group
+	// lateAnswers counts the messages that arrive for attempts that have ended,
+	// repeatedAttempts the attempts charged to the retry budget.
 	lateAnswers      *metrics.Counter
 	repeatedAttempts *metrics.Counter
 
--- a/internal/entry/calls/request.go
+++ b/internal/entry/calls/request.go
@@ -14,7 +14,8 @@
 	Class    kinds.Class
 	Deadline time.Time
 	Target   route.Target
-	Adapter  string
+	// Adapter is the adapter that the request needs, empty for none.
+	Adapter string
 	// PlainCall is set for calls of plain services, and nil for chat completions.
 	PlainCall *wire.PlainCall
 	// IdempotencyKey is empty unless the call's method isn't idempotent and the caller sent a key.
--- a/internal/entry/grants/server.go
+++ b/internal/entry/grants/server.go
@@ -81,10 +81,10 @@
 // grantDue grants the requests that are due at now and wakes their callers; the
 // caller must hold mu.
 func (s *PermitServer) grantDue(now time.Time) {
-	for _, a := range s.limiter.Grant(now) {
-		if granted := s.grantSignals[a.ID]; granted != nil {
+	for _, request := range s.limiter.Grant(now) {
+		if granted := s.grantSignals[request.ID]; granted != nil {
 			close(granted)
-			delete(s.grantSignals, a.ID)
+			delete(s.grantSignals, request.ID)
 		}
 	}
 }
