--- a/internal/entry/calls/dispatch.go
+++ b/internal/entry/calls/dispatch.go
@@ -21,11 +21,13 @@
 
 // Dispatcher sends requests to endpoints, retries them, and relays their answers.
 type Dispatcher struct {
-	holder           *view.Holder
-	pool             *peer.Pool
-	table            *route.Table
-	log              *zap.Logger
-	background       tasks.Group
+	holder     *view.Holder
+	pool       *peer.Pool
+	table      *route.Table
+	log        *zap.Logger
+	background tasks.Group
+	// lateAnswers counts the messages that arrive for attempts that have ended,
+	// repeatedAttempts the attempts charged to the retry budget.
 	lateAnswers      *metrics.Counter
 	repeatedAttempts *metrics.Counter
 
@@ -89,7 +91,7 @@
 	s := &endpointSearch{tried: map[string]bool{}, delay: minSearchDelay}
 	delivered := &progress{}
 	var res Result
-	for res.Attempts < retry.MaxAttempts && s.next(ctx, d, req) {
+	for res.Attempts < retry.MaxAttempts && s.nextEndpoint(ctx, d, req) {
 		res.Attempts++
 		out := d.runAttempt(ctx, req, s.node, delivered, sink, settleMargin)
 		if out.refusal == nil {
