--- a/internal/base/logs/logs.go
+++ b/internal/base/logs/logs.go
@@ -32,7 +32,7 @@
 func AuditLogger(log *zap.Logger) func(audit.Record) {
 	log = log.Named("Audit")
 	return func(r audit.Record) {
-		log.Info("changed", zap.String("Actor", r.Actor), zap.String("Action", r.Action), zap.String("Key", r.Key),
+		log.Info("audit record of an operator's change or a node's decision", zap.String("Actor", r.Actor), zap.String("Action", r.Action), zap.String("Key", r.Key),
 			zap.Int64("From", r.From), zap.Int64("To", r.To), zap.Any("Changes", r.Changes))
 	}
 }
