--- a/internal/policy/place/place.go
+++ b/internal/policy/place/place.go
@@ -48,7 +48,7 @@
 	}
 	return slices.MinFunc(fitting, func(a, b Endpoint) int {
 		return cmp.Or(
-			cmp.Compare(count(need.UsedDomains, a.Domain), count(need.UsedDomains, b.Domain)),
+			cmp.Compare(occurrences(need.UsedDomains, a.Domain), occurrences(need.UsedDomains, b.Domain)),
 			cmp.Compare(loadScore(a), loadScore(b)),
 			cmp.Compare(tieHash(need.Model, a.Name), tieHash(need.Model, b.Name)),
 		)
@@ -67,7 +67,7 @@
 	return float64(e.ReservedBytes)/float64(e.MemoryBytes) - localityGain*float64(e.CheckpointTier)
 }
 
-func count(list []string, s string) int {
+func occurrences(list []string, s string) int {
 	n := 0
 	for _, x := range list {
 		if x == s {
--- a/internal/policy/swap/index.go
+++ b/internal/policy/swap/index.go
@@ -7,7 +7,7 @@
 	"foxtailcroft/internal/core/site"
 )
 
-// index holds per-model facts over all servers, computed once per decision.
+// index holds what one decision derives from its input about models and servers.
 type index struct {
 	// summaries holds the summaries of models by name.
 	summaries map[string]*modelSummary
