--- a/internal/front/sched/planner.go
+++ b/internal/front/sched/planner.go
@@ -30,9 +30,9 @@
 	// minStepPause is the least pause between two planning steps, so that changes are
 	// handled in batches.
 	minStepPause = 5 * time.Millisecond
-	// restRatio is the ratio of the pause after a planning step to the step's
+	// stepPauseRatio is the ratio of the pause after a planning step to the step's
 	// duration, so that planning leaves CPU time for requests.
-	restRatio = 3
+	stepPauseRatio = 3
 	// maxStepInterval bounds the wait for the next planning step if nothing changes.
 	maxStepInterval = 100 * time.Millisecond
 	// usageTTL is how long a usage report is valid.
@@ -135,7 +135,7 @@
 		p.syncInstances(ctx)
 		p.startWork(ctx)
 		p.answerWaiters()
-		sleep.For(ctx, max(minStepPause, time.Since(began)*restRatio))
+		sleep.For(ctx, max(minStepPause, time.Since(began)*stepPauseRatio))
 	}
 }
 
