--- a/internal/agent/claim/log.go
+++ b/internal/agent/claim/log.go
@@ -36,8 +36,8 @@
 	Answer any
 }
 
-// record is what the owner remembers of one key.
-type record struct {
+// keyRecord is what the owner remembers of one key.
+type keyRecord struct {
 	digest uint64
 	state  State
 	answer any
@@ -64,7 +64,7 @@
 
 	mu sync.Mutex
 	// records holds the known keys.
-	records map[string]*record
+	records map[string]*keyRecord
 	// ownerRevision is the owner key's revision since this log's takeover.
 	ownerRevision int64
 	// nextSequence is the sequence number of the next batch.
@@ -96,7 +96,7 @@
 	l := &Log{
 		service: service, partition: partition, store: s, retention: retention, ctx: ctx,
 		self:    ownerRecord{Endpoint: endpoint, Incarnation: incarnation, Nonce: uuid.NewString()},
-		records: map[string]*record{},
+		records: map[string]*keyRecord{},
 	}
 	return l, func() {
 		cancel()
@@ -120,7 +120,7 @@
 		}
 		return l.awaitOutcome(ctx, r, done)
 	}
-	r := &record{digest: digest, state: InFlight, settled: make(chan struct{}), expires: time.Now().Add(l.retention)}
+	r := &keyRecord{digest: digest, state: InFlight, settled: make(chan struct{}), expires: time.Now().Add(l.retention)}
 	l.records[key] = r
 	p := &pendingClaim{keyClaim{key, digest}, make(chan error, 1)}
 	l.pending = append(l.pending, p)
@@ -141,7 +141,7 @@
 
 // abandon waits for the batch of a call whose context ended. If the claim was
 // written, its call never ran, so the next call with the key may run.
-func (l *Log) abandon(p *pendingClaim, r *record) {
+func (l *Log) abandon(p *pendingClaim, r *keyRecord) {
 	err := <-p.result
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -155,7 +155,7 @@
 
 // existingOutcome returns the outcome of an existing record for a call with
 // the digest, and the channel to wait on if it is InFlight.
-func (l *Log) existingOutcome(r *record, digest uint64) (Outcome, chan struct{}) {
+func (l *Log) existingOutcome(r *keyRecord, digest uint64) (Outcome, chan struct{}) {
 	switch {
 	case r.digest != digest:
 		return Outcome{State: Mismatch}, nil
@@ -167,7 +167,7 @@
 }
 
 // awaitOutcome waits for the outcome of the call in flight under the same key.
-func (l *Log) awaitOutcome(ctx context.Context, r *record, done chan struct{}) (Outcome, error) {
+func (l *Log) awaitOutcome(ctx context.Context, r *keyRecord, done chan struct{}) (Outcome, error) {
 	select {
 	case <-done:
 	case <-ctx.Done():
@@ -182,7 +182,7 @@
 }
 
 // failClaim removes the record of a key whose claim was not written.
-func (l *Log) failClaim(key string, r *record) {
+func (l *Log) failClaim(key string, r *keyRecord) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.removeRecord(key, r)
@@ -190,7 +190,7 @@
 }
 
 // removeRecord removes the record unless its key has a newer one. The caller holds the lock.
-func (l *Log) removeRecord(key string, r *record) {
+func (l *Log) removeRecord(key string, r *keyRecord) {
 	if l.records[key] == r {
 		delete(l.records, key)
 	}
@@ -228,7 +228,7 @@
 // failed batch. The caller holds the lock.
 func (l *Log) loseOwnership() error {
 	l.owned = false
-	l.records = map[string]*record{}
+	l.records = map[string]*keyRecord{}
 	return fault.NotRun(fault.Deposed, "partition %d of service %q has another owner", l.partition, l.service)
 }
 
--- a/internal/agent/claim/takeover.go
+++ b/internal/agent/claim/takeover.go
@@ -71,7 +71,7 @@
 			}
 			done := make(chan struct{})
 			close(done)
-			l.records[c.Key] = &record{digest: c.Digest, state: Unknown, settled: done, expires: time.Now().Add(l.retention)}
+			l.records[c.Key] = &keyRecord{digest: c.Digest, state: Unknown, settled: done, expires: time.Now().Add(l.retention)}
 		}
 	}
 }
--- a/internal/agent/runs/registry.go
+++ b/internal/agent/runs/registry.go
@@ -28,8 +28,8 @@
 	sweepPeriod = 5 * time.Second
 )
 
-// body is a request's body whose Run has not arrived yet.
-type body struct {
+// earlyBody is a request's body whose Run has not arrived yet.
+type earlyBody struct {
 	data        []byte
 	firstPartAt time.Time
 }
@@ -38,7 +38,7 @@
 type Registry struct {
 	mu       sync.Mutex
 	attempts map[string]*Attempt
-	bodies   map[string]*body
+	bodies   map[string]*earlyBody
 	// heldBytes sums the bytes of bodies and kept answers.
 	heldBytes atomic.Int64
 	// tombstones are the removed attempts, and those revoked before their Run arrived, by id.
@@ -53,7 +53,7 @@
 
 // NewRegistry returns an empty registry.
 func NewRegistry() *Registry {
-	return &Registry{attempts: map[string]*Attempt{}, bodies: map[string]*body{}, tombstones: map[string]tombstone{}}
+	return &Registry{attempts: map[string]*Attempt{}, bodies: map[string]*earlyBody{}, tombstones: map[string]tombstone{}}
 }
 
 // AddPart adds a part to a request's body. A part that is out of order or exceeds
@@ -63,7 +63,7 @@
 	defer r.mu.Unlock()
 	b, ok := r.bodies[p.Attempt]
 	if !ok {
-		b = &body{firstPartAt: time.Now()}
+		b = &earlyBody{firstPartAt: time.Now()}
 		r.bodies[p.Attempt] = b
 	}
 	if p.Offset == 0 {
