--- a/cmd/foxtailcroft/dev.go
+++ b/cmd/foxtailcroft/dev.go
@@ -86,8 +86,8 @@
 		return err
 	}
 	return check.Run(ctx, out, client, d.EntryURLs, requests, func(service, body string) int {
-		if book := d.RunLogs[service]; book != nil {
-			return book.Runs(body)
+		if runLog := d.RunLogs[service]; runLog != nil {
+			return runLog.Runs(body)
 		}
 		return 0
 	})
--- a/cmd/foxtailcroft/process.go
+++ b/cmd/foxtailcroft/process.go
@@ -21,12 +21,12 @@
 )
 
 // memberOptions opens the logger, peer listener and platform clients that entries and agents share.
-func memberOptions(node plan.Node, listen string, platform conf.Platform, level string) (member.Options, error) {
+func memberOptions(node plan.Node, listenAddress string, platform conf.Platform, level string) (member.Options, error) {
 	log, err := logs.New(os.Stdout, level, node.Name)
 	if err != nil {
 		return member.Options{}, eris.Wrap(err, "logger")
 	}
-	lis, err := net.Listen("tcp", listen)
+	lis, err := net.Listen("tcp", listenAddress)
 	if err != nil {
 		return member.Options{}, eris.Wrap(err, "peer listener")
 	}
--- a/cmd/foxtailcroft/transport.go
+++ b/cmd/foxtailcroft/transport.go
@@ -7,7 +7,8 @@
 )
 
 const (
-	dialTimeout         = 1500 * time.Millisecond
+	dialTimeout = 1500 * time.Millisecond
+	// keepAliveInterval is the time between two TCP keep-alive probes.
 	keepAliveInterval   = 10 * time.Second
 	maxIdleConnsPerHost = 64
 )
--- a/internal/node/agent/agent.go
+++ b/internal/node/agent/agent.go
@@ -50,12 +50,14 @@
 const (
 	// predecessorGrace is how long a load or unload order of the previous agent can still be in transit. It is
 	// needed for engines that do not check the fencing token; every order message times out within it.
-	predecessorGrace  = 4 * time.Second
-	readBackInterval  = 5 * time.Second
+	predecessorGrace = 4 * time.Second
+	// readBackInterval is the time between two reads of the engine's state.
+	readBackInterval = 5 * time.Second
+	// keyExpiryInterval is the time between two removals of expired idempotency keys.
 	keyExpiryInterval = time.Minute
 )
 
-// New returns an agent, to be started with Start, and the function that closes it.
+// New returns an agent that serves nothing until Start is called, and the function that closes it.
 func New(settings conf.Agent, o member.Options, backEnds BackEnds) (*Agent, func()) {
 	m, closeMember := member.New(o)
 	a := &Agent{
@@ -213,8 +215,8 @@
 	}
 }
 
-// watchService keeps the gate's capacity equal to the service's declared concurrency, and expires
-// idempotency keys every keyExpiryInterval.
+// watchService keeps the limiter's capacity equal to the service's declared concurrency, or 0 while the service
+// is not declared, and expires idempotency keys every keyExpiryInterval.
 func (a *Agent) watchService(ctx context.Context) {
 	expire := time.NewTicker(keyExpiryInterval)
 	defer expire.Stop()
@@ -253,4 +255,5 @@
 	}
 }
 
+// drainPollInterval is the time between two checks for answers that are still to be collected.
 const drainPollInterval = 50 * time.Millisecond
--- a/internal/node/check/run.go
+++ b/internal/node/check/run.go
@@ -41,22 +41,22 @@
 
 // Summary formats the result as one line for a terminal, with replicas as a preformatted column.
 func (r Result) Summary(replicas string) string {
-	outcome := "ok"
+	verdict := "ok"
 	if len(r.Failures) > 0 {
-		outcome = "FAILED " + strings.Join(r.Failures, "; ")
+		verdict = "FAILED " + strings.Join(r.Failures, "; ")
 	}
-	first, cold := time.Duration(0), map[string]int{}
-	for _, e := range r.Outcomes {
-		first = max(first, e.TimeToFirstToken)
-		if e.ColdStart != "" {
-			cold[e.ColdStart]++
+	maxFirst, cold := time.Duration(0), map[string]int{}
+	for _, o := range r.Outcomes {
+		maxFirst = max(maxFirst, o.TimeToFirstToken)
+		if o.ColdStart != "" {
+			cold[o.ColdStart]++
 		}
 	}
-	kind := ""
+	coldCounts := ""
 	if r.Request.Service == "" {
-		kind = fmt.Sprintf(" cold=%d warm=%d", cold["true"], cold["false"])
+		coldCounts = fmt.Sprintf(" cold=%d warm=%d", cold["true"], cold["false"])
 	}
-	return fmt.Sprintf("%-52s sent=%-3d %s first=%s%s%s: %s", r.Request.Name, len(r.Outcomes), r.Request.Expect, first.Round(time.Millisecond), kind, replicas, outcome)
+	return fmt.Sprintf("%-52s sent=%-3d %s first=%s%s%s: %s", r.Request.Name, len(r.Outcomes), r.Request.Expect, maxFirst.Round(time.Millisecond), coldCounts, replicas, verdict)
 }
 
 // Send sends Count copies of a request concurrently, distributed over the entries in turn, and checks the outcomes.
@@ -69,8 +69,8 @@
 	res := Result{Request: r, Outcomes: send.Map(numbers, func(n *int) Outcome {
 		return sendOnce(client, entries[*n%len(entries)], r, *n)
 	})}
-	for _, e := range res.Outcomes {
-		if failure := checkOutcome(r, e); failure != "" && !slices.Contains(res.Failures, failure) {
+	for _, o := range res.Outcomes {
+		if failure := checkOutcome(r, o); failure != "" && !slices.Contains(res.Failures, failure) {
 			res.Failures = append(res.Failures, failure)
 		}
 	}
@@ -115,19 +115,19 @@
 		return Outcome{Err: err}
 	}
 	defer func() { _ = resp.Body.Close() }()
-	e := Outcome{Status: resp.StatusCode, NotRun: resp.Header.Get("X-Not-Run") == "true", ColdStart: resp.Header.Get("X-Cold-Start")}
+	out := Outcome{Status: resp.StatusCode, NotRun: resp.Header.Get("X-Not-Run") == "true", ColdStart: resp.Header.Get("X-Cold-Start")}
 	switch {
 	case resp.StatusCode/100 == 2 && r.Stream:
-		e.Text, e.TimeToFirstToken, e.Err = readStream(resp.Body, began)
+		out.Text, out.TimeToFirstToken, out.Err = readStream(resp.Body, began)
 	case resp.StatusCode/100 == 2 && r.Model != "":
-		e.Text, e.Err = readAnswer(resp.Body)
-		e.TimeToFirstToken = time.Since(began)
+		out.Text, out.Err = readAnswer(resp.Body)
+		out.TimeToFirstToken = time.Since(began)
 	default:
 		data, err := io.ReadAll(resp.Body)
-		e.Text, e.Err, e.TimeToFirstToken = string(data), err, time.Since(began)
+		out.Text, out.Err, out.TimeToFirstToken = string(data), err, time.Since(began)
 	}
-	e.Duration = time.Since(began)
-	return e
+	out.Duration = time.Since(began)
+	return out
 }
 
 type completion struct {
@@ -137,6 +137,7 @@
 	} `json:"choices"`
 }
 
+// readAnswer returns the text of a chat completion that is not streamed.
 func readAnswer(body io.Reader) (string, error) {
 	var c completion
 	if err := json.NewDecoder(body).Decode(&c); err != nil {
@@ -148,7 +149,8 @@
 	return c.Choices[0].Message.Content, nil
 }
 
-// readStream reads server-sent events up to the end marker. It returns the text and the time to first token.
+// readStream reads server-sent events up to the end marker. It returns the text and the time from began to the first
+// event, which is 0 if there was none, and an error if the stream ends without its marker.
 func readStream(body io.Reader, began time.Time) (text string, first time.Duration, err error) {
 	lines := bufio.NewScanner(body)
 	for lines.Scan() {
--- a/internal/node/check/suite.go
+++ b/internal/node/check/suite.go
@@ -82,6 +82,7 @@
 	return nil
 }
 
+// retryInterval is the pause between two attempts of a write or a readiness check.
 const retryInterval = 100 * time.Millisecond
 
 func applyOne(ctx context.Context, c *remote.Client, r kinds.Resource) error {
@@ -103,13 +104,13 @@
 // on all nodes.
 func WaitReady(ctx context.Context, c *remote.Client, resources []kinds.Resource) error {
 	for {
-		missing := firstNotReady(ctx, c, resources)
-		if missing == "" {
+		notReady := firstNotReady(ctx, c, resources)
+		if notReady == "" {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("not ready in time: %s", missing)
+			return fmt.Errorf("not ready in time: %s", notReady)
 		case <-time.After(retryInterval):
 		}
 	}
--- a/internal/node/entry/entry.go
+++ b/internal/node/entry/entry.go
@@ -34,7 +34,7 @@
 	log           *zap.Logger
 }
 
-// New returns an entry, to be started with Start, and the function that closes it.
+// New returns an entry that serves nothing until Start is called, and the function that closes it.
 func New(settings conf.Entry, o member.Options) (*Entry, func()) {
 	m, closeMember := member.New(o)
 	table := route.NewTable(o.Self.Domain, xxhash.Sum64String(o.Self.Name))
@@ -90,6 +90,7 @@
 	}
 }
 
+// bootstrapRetryDelay is the pause between two attempts to load the first configuration.
 const bootstrapRetryDelay = time.Second
 
 // Drain turns readiness off, gives the load balancer time to notice, and waits
--- a/internal/node/local/bench_test.go
+++ b/internal/node/local/bench_test.go
@@ -100,7 +100,7 @@
 	direct := engine.NewClient(d.engineURLs[0], &http.Transport{})
 	var body json.RawMessage = []byte(benchBody(16, true))
 	b.Run("whole answer of 16 tokens", func(b *testing.B) {
-		var through, alone, first time.Duration
+		var viaEntry, directly, first time.Duration
 		for b.Loop() {
 			f, whole, err := timeStream(client, d.EntryURLs[0], string(body))
 			if err != nil {
@@ -111,11 +111,11 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			through, first, alone = through+whole, first+f, alone+time.Since(began)
+			viaEntry, first, directly = viaEntry+whole, first+f, directly+time.Since(began)
 		}
-		b.ReportMetric(float64(through)/float64(alone), "ratio-whole")
+		b.ReportMetric(float64(viaEntry)/float64(directly), "ratio-whole")
 		b.ReportMetric(float64(first.Microseconds())/float64(b.N), "first-us")
-		b.ReportMetric(float64(alone.Microseconds())/float64(b.N), "direct-us")
+		b.ReportMetric(float64(directly.Microseconds())/float64(b.N), "direct-us")
 	})
 }
 
@@ -125,7 +125,7 @@
 	body := benchBody(1, false)
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
-	used, began := cpuTime(), time.Now()
+	cpuBefore, began := cpuTime(), time.Now()
 	b.SetParallelism(16)
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
@@ -144,7 +144,7 @@
 	})
 	runtime.ReadMemStats(&after)
 	b.ReportMetric(float64(b.N)/time.Since(began).Seconds(), "requests/s")
-	b.ReportMetric(float64((cpuTime()-used).Microseconds())/float64(b.N), "cpu-us/request")
+	b.ReportMetric(float64((cpuTime()-cpuBefore).Microseconds())/float64(b.N), "cpu-us/request")
 	b.ReportMetric(float64(after.Mallocs-before.Mallocs)/float64(b.N), "allocs/request")
 }
 
@@ -157,8 +157,8 @@
 			body := benchBody(tokens, true)
 			var before, after runtime.MemStats
 			runtime.ReadMemStats(&before)
-			used, began := cpuTime(), time.Now()
-			var worst atomic.Int64
+			cpuBefore, began := cpuTime(), time.Now()
+			var slowestNs atomic.Int64
 			for b.Loop() {
 				var g conc.WaitGroup
 				for range streams {
@@ -167,7 +167,7 @@
 						if err != nil {
 							b.Error(err)
 						}
-						worst.Store(max(worst.Load(), int64(whole)))
+						slowestNs.Store(max(slowestNs.Load(), int64(whole)))
 					})
 				}
 				g.Wait()
@@ -175,9 +175,9 @@
 			runtime.ReadMemStats(&after)
 			n := float64(b.N * streams * tokens)
 			b.ReportMetric(n/time.Since(began).Seconds(), "tokens/s")
-			b.ReportMetric(float64((cpuTime()-used).Microseconds())/n, "cpu-us/token")
+			b.ReportMetric(float64((cpuTime()-cpuBefore).Microseconds())/n, "cpu-us/token")
 			b.ReportMetric(float64(after.Mallocs-before.Mallocs)/n, "allocs/token")
-			b.ReportMetric(float64(worst.Load())/1e6/tokens, "worst-ms/token")
+			b.ReportMetric(float64(slowestNs.Load())/1e6/tokens, "worst-ms/token")
 		})
 	}
 }
--- a/internal/node/local/local.go
+++ b/internal/node/local/local.go
@@ -34,13 +34,15 @@
 
 // Settings are the settings of a deployment.
 type Settings struct {
+	// Entries and Engines are the numbers of entries and of engines, each engine with its agent.
 	Entries int
 	Engines int
 	// Services lists the plain services; each gets ServiceEndpoints endpoints.
 	Services         []string
 	ServiceEndpoints int
 	Engine           engsim.Settings
-	Seed             uint64
+	// Seed determines which answers the stand-in store loses.
+	Seed uint64
 }
 
 // DefaultSettings returns the settings of the dev command.
@@ -58,7 +60,8 @@
 type Deployment struct {
 	Platform *kvsim.Platform
 	Engines  []*engsim.Engine
-	RunLogs  map[string]*svcsim.RunLog
+	// RunLogs holds the run log of each plain service by the service's name.
+	RunLogs map[string]*svcsim.RunLog
 	// EntryURLs and PlatformURL are base URLs.
 	EntryURLs   []string
 	PlatformURL string
@@ -158,9 +161,9 @@
 const storeCallsPerSecond = 100
 
 func (d *Deployment) startEngine(i int) error {
-	m := engsim.New(d.settings.Engine)
-	d.Engines = append(d.Engines, m)
-	url, err := d.serveHTTP("StandinEngine", m.Handler())
+	eng := engsim.New(d.settings.Engine)
+	d.Engines = append(d.Engines, eng)
+	url, err := d.serveHTTP("StandinEngine", eng.Handler())
 	if err != nil {
 		return err
 	}
--- a/internal/node/member/member.go
+++ b/internal/node/member/member.go
@@ -50,7 +50,7 @@
 	Ledger      *ledger.Ledger
 }
 
-// New returns a member, to be started with Start, and the function that closes its connections.
+// New returns a member that serves nothing until Start is called, and the function that closes its connections.
 func New(o Options) (*Member, func()) {
 	m := &Member{Options: o, Incarnation: time.Now().UnixNano(), Holder: view.NewHolder(), Mux: peer.NewMux()}
 	hello := func() peer.Hello { return peer.Hello{Node: o.Self.Name, Epoch: m.Incarnation} }
@@ -80,7 +80,8 @@
 const maxRegisterDelay = 2 * time.Second
 
 // Register registers the node under the next epoch and returns that epoch. It
-// retries with backoff until it succeeds or the context ends.
+// retries with backoff while the store is unreachable, and fails only when the
+// context ends or the record cannot be encoded.
 func (m *Member) Register(ctx context.Context) (int64, error) {
 	retryBackoff := backoff.NewExponentialBackOff()
 	retryBackoff.MaxInterval = maxRegisterDelay
@@ -122,6 +123,7 @@
 	return updated.Epoch, err
 }
 
+// registerWriteTimeout bounds the write of the node's record in one attempt.
 const registerWriteTimeout = 5 * time.Second
 
 // AnnounceLeaving notifies all connected processes that this node accepts no new work.
--- a/internal/oper/cause/cause_test.go
+++ b/internal/oper/cause/cause_test.go
@@ -14,7 +14,7 @@
 		line RequestLine
 		want Cause
 	}{
-		{"in time", RequestLine{Outcome: "answered", Status: 200, FirstMs: 90, GoalMs: 100}, InTime},
+		{"first event within the response goal", RequestLine{Outcome: "answered", Status: 200, FirstMs: 90, GoalMs: 100}, InTime},
 		{"route without a response goal", RequestLine{Outcome: "answered", Status: 200, FirstMs: 9000}, InTime},
 		{"pause takes precedence over a late first event", RequestLine{Outcome: "answered", Status: 200, FirstMs: 900, GoalMs: 800, GapMs: 450, MaxGapMs: 400}, LatePause},
 		{"late after waiting for the model", RequestLine{Outcome: "answered", Status: 200, FirstMs: 1700, GoalMs: 800, HeldMs: 1200}, LateModelWait},
@@ -22,10 +22,10 @@
 		{"late first event from the instance", RequestLine{Outcome: "answered", Status: 200, FirstMs: 1700, GoalMs: 800, Sends: 1}, LateFirstEvent},
 		{"error status from the instance", RequestLine{Outcome: "answered", Status: 500, GoalMs: 100, FirstMs: 20}, InstanceError},
 		{"refusal keeps its reason", RequestLine{Outcome: "refused", Status: 503, Reason: "no planner"}, "refused: no planner"},
-		{"refused with status 404", RequestLine{Outcome: "refused", Status: 404, Reason: "no route"}, NotAllowed},
+		{"refusal with status 404 counts as not allowed", RequestLine{Outcome: "refused", Status: 404, Reason: "no route"}, NotAllowed},
 		{"caller left while waiting for the model", RequestLine{Outcome: "caller left", HeldMs: 900, Ms: 1000}, CallerLeftWaiting},
 		{"caller left during the answer", RequestLine{Outcome: "caller left", HeldMs: 0, Ms: 1000}, CallerLeft},
-		{"stream broken off", RequestLine{Outcome: "stream broken off", Ms: 1000}, BrokenOff},
+		{"stream that broke off", RequestLine{Outcome: "stream broken off", Ms: 1000}, BrokenOff},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/oper/cause/line.go
+++ b/internal/oper/cause/line.go
@@ -20,8 +20,9 @@
 	Outcome  string
 	Status   int
 	Reason   string
-	Sends    int
-	Unsent   int
+	// Sends counts the attempts that an instance may have run, and Unsent those that certainly did not run.
+	Sends  int
+	Unsent int
 	// HeldMs is the wait for an instance, FirstMs the time to the first event of the answer, GapMs the longest
 	// pause between events, and Ms the whole time of the request, in milliseconds.
 	HeldMs  int64
--- a/internal/oper/print/print.go
+++ b/internal/oper/print/print.go
@@ -135,8 +135,8 @@
 		l := &lineWriter{w: w}
 		l.printf("MODEL\tDECIDED\tLOADED\tLOADING\tWHERE\tLAST WAKE\tCOLD P99\tIDLE HOURS\tNOT READY")
 		for _, m := range c.Models {
-			where, wake, cold, idle := replicaSummary(m.Status)
-			l.printf("%s\t%d\t%d\t%d\t%s\t%s\t%s\t%.2f\t%s", m.Name, m.Decided, m.Loaded, m.Loading, where, localTime(wake), cold, idle, notReadyReason(m.Status))
+			where, lastWake, coldP99, idleHours := replicaSummary(m.Status)
+			l.printf("%s\t%d\t%d\t%d\t%s\t%s\t%s\t%.2f\t%s", m.Name, m.Decided, m.Loaded, m.Loading, where, localTime(lastWake), coldP99, idleHours, notReadyReason(m.Status))
 		}
 		l.printf("")
 		l.printf("ENDPOINT\tDOMAIN\tEPOCH\tMEMORY GB\tUSED GB\tQUEUED\tSTATE")
@@ -154,25 +154,25 @@
 
 // replicaSummary returns the endpoints with a replica that is not dormant, the last wake, the highest 99th percentile
 // of cold starts and the total of idle hours over a model's replicas.
-func replicaSummary(s admin.Status) (where string, wake time.Time, cold time.Duration, idle float64) {
+func replicaSummary(s admin.Status) (where string, lastWake time.Time, coldP99 time.Duration, idleHours float64) {
 	var places []string
 	for _, r := range s.Replicas {
 		if r.State != "Dormant" {
 			places = append(places, r.Endpoint)
 		}
-		if r.LastWake.After(wake) {
-			wake = r.LastWake
+		if r.LastWake.After(lastWake) {
+			lastWake = r.LastWake
 		}
-		cold = max(cold, r.ColdP99.Std())
-		idle += r.IdleHours
+		coldP99 = max(coldP99, r.ColdP99.Std())
+		idleHours += r.IdleHours
 	}
 	if len(places) == 0 {
 		places = []string{"-"}
 	}
-	return strings.Join(places, ","), wake, cold.Round(time.Millisecond), idle
+	return strings.Join(places, ","), lastWake, coldP99.Round(time.Millisecond), idleHours
 }
 
-// notReadyReason returns why a model is not ready, or "-" if it is.
+// notReadyReason returns the reason of a false Ready condition, or "-" if there is none.
 func notReadyReason(s admin.Status) string {
 	for _, c := range s.Conditions {
 		if c.Type == "Ready" && !c.Status {
