--- a/internal/lab/emul/emul_test.go
+++ b/internal/lab/emul/emul_test.go
@@ -54,23 +54,23 @@
 		{"usual server", 1, 320 * time.Millisecond, 360 * time.Millisecond},
 		{"slow server", 1.3, 413 * time.Millisecond, 457 * time.Millisecond},
 	}
-	for _, x := range cases {
-		t.Run(x.name, func(t *testing.T) {
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
 			spec := DefaultSpec()
-			s := &server{spec: &spec, timeFactor: x.serverFactor, loaded: map[string]*loadedModel{"m": {}}, prefixCache: map[string]bool{}}
-			list := requestClasses()
-			s.admit(&request{class: &list[2], model: "m", promptTokens: 500, outputTokens: 500}, 1, 0)
+			s := &server{spec: &spec, timeFactor: c.serverFactor, loaded: map[string]*loadedModel{"m": {}}, prefixCache: map[string]bool{}}
+			classes := requestClasses()
+			s.admit(&request{class: &classes[2], model: "m", promptTokens: 500, outputTokens: 500}, 1, 0)
 			var now, longest time.Duration
 			for i := range 80 {
 				if i == 20 {
-					s.admit(&request{class: &list[0], model: "m", promptTokens: 11000, outputTokens: 5}, 1, now)
+					s.admit(&request{class: &classes[0], model: "m", promptTokens: 11000, outputTokens: 5}, 1, now)
 				}
 				now += s.runStep()
 				s.emitTokens(now, func(_ *sequence, gap time.Duration) { longest = max(longest, gap) })
 			}
 			g := NewWithT(t)
-			g.Expect(longest).To(BeNumerically(">=", x.from*9/10))
-			g.Expect(longest).To(BeNumerically("<=", x.to*11/10))
+			g.Expect(longest).To(BeNumerically(">=", c.from*9/10))
+			g.Expect(longest).To(BeNumerically("<=", c.to*11/10))
 		})
 	}
 }
--- a/internal/lab/emul/result.go
+++ b/internal/lab/emul/result.go
@@ -69,7 +69,8 @@
 // Row is the sum of the results of one knowledge set at one load over several seeds.
 type Row struct {
 	Knows Knowledge
-	Load  float64
+	// Load is the multiple of the site's request rates.
+	Load float64
 	Result
 }
 
@@ -107,5 +108,5 @@
 	return nil
 }
 
-// dayLength is the length of a simulated day.
+// dayLength is the simulated time of one run, which stands for a day of a site.
 const dayLength = time.Minute
--- a/internal/lab/emul/play.go
+++ b/internal/lab/emul/simulation.go
@@ -56,6 +56,7 @@
 const blanketsRateRatio = 0.78
 
 const (
+	// planInterval is the time between two decisions of the placement policy.
 	planInterval = 100 * time.Millisecond
 	// smallModelTimeFactor scales prefill and step times of the first model,
 	// the smallest of the busy ones.
@@ -73,19 +74,23 @@
 
 // simulation is the state of a simulated day.
 type simulation struct {
-	options        Options
-	knowledge      Knowledge
-	spec           ServerSpec
-	engine         *site.Engine
-	servers        []*server
-	queue          eventQueue
-	now            time.Duration
-	rnd            *rand.Rand
-	waiting        []*request
-	demand         map[string]decay.Count
+	options   Options
+	knowledge Knowledge
+	spec      ServerSpec
+	engine    *site.Engine
+	servers   []*server
+	queue     eventQueue
+	now       time.Duration
+	rnd       *rand.Rand
+	// waitingRequests lists the requests whose model is loaded on no server.
+	waitingRequests []*request
+	// arrivals counts the requests that arrived for each model, sentRequests those that were sent, and
+	// prefillSeconds sums the expected prefill times of the sent ones; all three decay with time.
+	arrivals       map[string]decay.Count
 	sentRequests   map[string]decay.Count
 	prefillSeconds map[string]decay.Count
 	prefillSpeeds  map[string]speed.Prefill
+	// pausePeaks holds the longest recent stream pause of each server; it decays with time.
 	pausePeaks     map[string]decay.Peak
 	loadsFromStore int
 	// scheduled counts the events scheduled so far.
@@ -95,7 +100,7 @@
 // Simulate runs one day and returns the outcomes of its requests.
 func Simulate(o Options, k Knowledge) Result {
 	p := &simulation{
-		options: o, knowledge: k, spec: DefaultSpec(), rnd: rand.New(rand.NewPCG(o.Seed, 2)), demand: map[string]decay.Count{}, sentRequests: map[string]decay.Count{},
+		options: o, knowledge: k, spec: DefaultSpec(), rnd: rand.New(rand.NewPCG(o.Seed, 2)), arrivals: map[string]decay.Count{}, sentRequests: map[string]decay.Count{},
 		prefillSeconds: map[string]decay.Count{}, prefillSpeeds: map[string]speed.Prefill{}, pausePeaks: map[string]decay.Peak{},
 		engine: &site.Engine{ConcurrentRequests: 64, WeightsMB: float64(o.ModelsPerServer*modelMB + adapterMB), StoreLoadsPerSecond: 2.1},
 	}
@@ -148,9 +153,9 @@
 }
 
 func (p *simulation) arrive(q *request) {
-	p.demand[q.model] = p.demand[q.model].Add(1, p.policyTime())
+	p.arrivals[q.model] = p.arrivals[q.model].Add(1, p.policyTime())
 	if !p.send(q) {
-		p.waiting = append(p.waiting, q)
+		p.waitingRequests = append(p.waitingRequests, q)
 	}
 }
 
@@ -244,7 +249,7 @@
 func (p *simulation) planLoads() {
 	p.sendWaiting()
 	in := swap.Input{Engine: p.engine, Demand: map[string]swap.Demand{}, StoreConcurrency: maxStoreLoads, StoreLoadsLeft: maxStoreLoads}
-	for _, q := range p.waiting {
+	for _, q := range p.waitingRequests {
 		i := slices.IndexFunc(in.Wants, func(w swap.Want) bool { return w.Model == q.model })
 		if i < 0 {
 			in.Wants = append(in.Wants, swap.Want{Model: q.model})
@@ -252,7 +257,7 @@
 		}
 		in.Wants[i].Weight++
 	}
-	for m, c := range p.demand {
+	for m, c := range p.arrivals {
 		d := swap.Demand{Rate: c.Rate(p.policyTime())}
 		if sent := p.sentRequests[m].Value(p.policyTime()); p.knowledge.Work && sent >= 1 {
 			d.PrefillTime = time.Duration(p.prefillSeconds[m].Value(p.policyTime()) / sent * float64(time.Second))
@@ -276,7 +281,7 @@
 // sendWaiting routes the waiting requests whose model is loaded and drops those
 // past their deadline.
 func (p *simulation) sendWaiting() {
-	p.waiting = slices.DeleteFunc(p.waiting, func(q *request) bool {
+	p.waitingRequests = slices.DeleteFunc(p.waitingRequests, func(q *request) bool {
 		return p.now-q.arrivedAt > q.class.deadline || p.send(q)
 	})
 }
--- a/internal/lab/emul/day.go
+++ b/internal/lab/emul/workload.go
@@ -28,6 +28,7 @@
 	usesBusyModels bool
 }
 
+// sharedPart is a prompt part of a number of tokens that comes in a number of variants.
 type sharedPart struct {
 	tokens, variants int
 }
@@ -56,7 +57,9 @@
 
 // request is one request of a day and its measured outcome.
 type request struct {
-	class          *requestClass
+	class *requestClass
+	// arrivedAt, sentAt and firstEventAt are times since the start of the day; sentAt and
+	// firstEventAt are 0 until then.
 	arrivedAt      time.Duration
 	model          string
 	promptTokens   int
@@ -75,8 +78,8 @@
 	completed       bool
 }
 
-// generateRequests draws the requests of a day; loadFactor multiplies the rates
-// of the classes.
+// generateRequests draws the requests of a day of the given length, as Poisson
+// arrivals of each class; loadFactor multiplies the rates of the classes.
 func generateRequests(length time.Duration, loadFactor float64, models int, seed uint64) []*request {
 	rnd := rand.New(rand.NewPCG(seed, 1))
 	var out []*request
--- a/internal/lab/replay/policy.go
+++ b/internal/lab/replay/policy.go
@@ -17,7 +17,7 @@
 
 // Future is knowledge of later arrivals, which only Clairvoyant may use.
 type Future struct {
-	// NextArrival is the time until the model's next arrival.
+	// NextArrival is the time until the model's next arrival; forever if there is none.
 	NextArrival time.Duration
 	// LoadTime is the time to load the model, and TotalWait the summed wait of
 	// all requests that arrive during that load.
--- a/internal/lab/replay/run.go
+++ b/internal/lab/replay/run.go
@@ -29,7 +29,8 @@
 
 // event is a callback scheduled for a simulated time.
 type event struct {
-	at  time.Duration
+	at time.Duration
+	// seq keeps events of the same time in the order in which they were scheduled.
 	seq int
 	run func()
 }
@@ -157,17 +158,17 @@
 		if r.lostServers[i] {
 			continue
 		}
-		var promisedBytes int64
+		var reservedBytes int64
 		for _, other := range r.slots {
 			if other != s && other.server == i {
-				promisedBytes += r.workload.Models[other.model].Bytes
+				reservedBytes += r.workload.Models[other.model].Bytes
 			}
 		}
-		near := 0
+		checkpointTier := 0
 		if (s.model+i)%3 == 0 {
-			near = 1
+			checkpointTier = 1
 		}
-		candidates = append(candidates, place.Endpoint{Name: fmt.Sprint(i), Domain: fmt.Sprint(i % 3), MemoryBytes: r.workload.Deployment.ServerBytes, ReservedBytes: promisedBytes, CheckpointTier: near})
+		candidates = append(candidates, place.Endpoint{Name: fmt.Sprint(i), Domain: fmt.Sprint(i % 3), MemoryBytes: r.workload.Deployment.ServerBytes, ReservedBytes: reservedBytes, CheckpointTier: checkpointTier})
 	}
 	e, _ := place.Choose(place.Request{Model: m.Name, Bytes: m.Bytes}, candidates)
 	// Endpoint names are server numbers, so the scan cannot fail.
@@ -283,6 +284,7 @@
 	}
 	r.freeBytes[s.server] -= r.workload.Models[s.model].Bytes
 	s.phase = waiting
+	// Rank 0 is that of urgent requests, and 2 that of all others.
 	rank := 2
 	for _, a := range s.queue {
 		if a.Urgent {
--- a/internal/standin/engsim/engine.go
+++ b/internal/standin/engsim/engine.go
@@ -15,11 +15,13 @@
 type Settings struct {
 	MemoryBytes int64
 	// CheckFence makes the engine reject orders with an outdated fencing token.
-	CheckFence  bool
+	CheckFence bool
+	// LoadTime and AdapterTime are the load times of a model and of an adapter, and UnloadTime is the unload time
+	// of either.
 	LoadTime    time.Duration
 	AdapterTime time.Duration
 	UnloadTime  time.Duration
-	// TimeToFirstToken is the time to first token, InterTokenLatency the inter-token latency.
+	// TimeToFirstToken delays the first token of each generation, and InterTokenLatency each further token.
 	TimeToFirstToken  time.Duration
 	InterTokenLatency time.Duration
 	// MaxReportAge is how long a report is reused before it is refreshed.
@@ -60,19 +62,19 @@
 	faults        Faults
 	faultsChanged chan struct{}
 
-	running     int
-	loads       int
-	overcommits int
-	generated   int
-	// cachedAt gives for each model that was ever loaded where its weights are cached.
-	cachedAt   map[string]string
-	reported   engine.Report
-	reportedAt time.Time
+	runningGenerations int
+	startedLoads       int
+	overcommits        int
+	startedGenerations int
+	// cacheLocation maps each model that was ever loaded to the place of its cached weights, "disk".
+	cacheLocation map[string]string
+	reported      engine.Report
+	reportedAt    time.Time
 }
 
 // New returns an engine with nothing loaded.
 func New(set Settings) *Engine {
-	return &Engine{settings: set, items: map[engine.Item]*itemState{}, cachedAt: map[string]string{}, faultsChanged: make(chan struct{})}
+	return &Engine{settings: set, items: map[engine.Item]*itemState{}, cacheLocation: map[string]string{}, faultsChanged: make(chan struct{})}
 }
 
 // SetFaults replaces the fault switches.
@@ -89,17 +91,20 @@
 	// Overcommits counts the loads that were rejected because they would have
 	// exceeded the memory.
 	Overcommits int
-	Loads       int
-	Generated   int
-	Running     int
-	Fence       int64
+	// Loads and Generated count the loads and the generations that were started, and Running the generations
+	// in progress.
+	Loads     int
+	Generated int
+	Running   int
+	// Fence is the highest fencing token seen; 0 if none.
+	Fence int64
 }
 
 // Stats returns the counters.
 func (m *Engine) Stats() Stats {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return Stats{m.overcommits, m.loads, m.generated, m.running, m.maxFence}
+	return Stats{m.overcommits, m.startedLoads, m.startedGenerations, m.runningGenerations, m.maxFence}
 }
 
 // LoadedItems returns the items in memory, including those being loaded or unloaded.
@@ -171,13 +176,13 @@
 	}
 	s := &itemState{bytes: o.Bytes, loading: true, settled: make(chan struct{})}
 	m.items[o.Item] = s
-	m.loads++
+	m.startedLoads++
 	time.AfterFunc(m.loadTime(o.Item), func() {
 		m.mu.Lock()
 		defer m.mu.Unlock()
 		s.loading = false
 		// A loaded model stays on the server's disk.
-		m.cachedAt[o.Item.Model] = "disk"
+		m.cacheLocation[o.Item.Model] = "disk"
 		close(s.settled)
 	})
 	return s.settled, nil
@@ -286,7 +291,7 @@
 	defer m.mu.Unlock()
 	if m.reportedAt.IsZero() || time.Since(m.reportedAt) >= m.settings.MaxReportAge {
 		m.reportedAt = time.Now()
-		m.reported = engine.Report{MemoryBytes: m.settings.MemoryBytes, Running: m.running, Cached: maps.Clone(m.cachedAt)}
+		m.reported = engine.Report{MemoryBytes: m.settings.MemoryBytes, Running: m.runningGenerations, Cached: maps.Clone(m.cacheLocation)}
 		for i, s := range m.items {
 			m.reported.Items = append(m.reported.Items, engine.LoadedItem{Item: i, Bytes: s.bytes, Loading: s.loading})
 		}
--- a/internal/standin/engsim/generate.go
+++ b/internal/standin/engsim/generate.go
@@ -12,11 +12,13 @@
 	"foxtailcroft/internal/back/engine"
 )
 
+// defaultMaxTokens is the answer's length in tokens if the request gives none.
 const defaultMaxTokens = 16
 
 var vocabulary = strings.Fields("amber bell crystal drop even facet glass hook iron jet knot lamp mirror nickel oval pendant quartz ring silver tier urn velvet wire yarn zinc wool quilt fleece linen cotton")
 
-// Token returns the n-th token of the answer to the messages of a chat completion.
+// Token returns the token at an index, from 0, of the answer to the messages of a chat completion. It depends only
+// on the messages and the index.
 func Token(messages []byte, index int) string {
 	var indexBytes [8]byte
 	for i := range indexBytes {
@@ -29,7 +31,7 @@
 	return vocabulary[hash.Sum64()%uint64(len(vocabulary))] + " "
 }
 
-// Completion returns the whole answer to the messages of a chat completion.
+// Completion returns the answer of a number of tokens to the messages of a chat completion.
 func Completion(messages []byte, tokens int) string {
 	var b strings.Builder
 	for n := range tokens {
@@ -88,8 +90,8 @@
 	if s := m.items[i]; s == nil || s.loading || s.unloading {
 		return &engine.NotLoaded{Item: i}
 	}
-	m.running++
-	m.generated++
+	m.runningGenerations++
+	m.startedGenerations++
 	return nil
 }
 
@@ -106,7 +108,7 @@
 func (m *Engine) endGeneration() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.running--
+	m.runningGenerations--
 }
 
 func (m *Engine) shouldBreak(sentTokens int) bool {
--- a/internal/standin/engsim/weights.go
+++ b/internal/standin/engsim/weights.go
@@ -35,12 +35,12 @@
 	w.slowdown = factor
 }
 
-// startLoad registers a load and returns how long it takes, including the wait
-// for its start.
-func (w *WeightStore) startLoad(base time.Duration, adapter bool) time.Duration {
+// startLoad registers a load that takes the time unlimited on an idle weight store, and
+// returns how long it takes now, including the wait for its start.
+func (w *WeightStore) startLoad(unlimited time.Duration, adapter bool) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	loadTime := time.Duration(float64(base) * w.slowdown)
+	loadTime := time.Duration(float64(unlimited) * w.slowdown)
 	if adapter {
 		w.adapterLoads++
 		loadTime = slowedBySharing(loadTime, w.adapterLoads, adaptersAtFullSpeed)
@@ -65,6 +65,8 @@
 	*count--
 }
 
+// slowedBySharing returns the load time d of one of inTransit concurrent loads; beyond
+// fullSpeedLimit it grows in proportion to their number.
 func slowedBySharing(d time.Duration, inTransit, fullSpeedLimit int) time.Duration {
 	if inTransit <= fullSpeedLimit {
 		return d
--- a/internal/standin/kvsim/memory.go
+++ b/internal/standin/kvsim/memory.go
@@ -149,10 +149,10 @@
 	if m.faults.StaleBy == 0 {
 		return m.current, m.revision
 	}
-	until := max(1, m.revision-m.faults.StaleBy)
+	staleRevision := max(1, m.revision-m.faults.StaleBy)
 	old := map[string]store.KV{}
 	for _, c := range m.log {
-		if c.Revision > until {
+		if c.Revision > staleRevision {
 			break
 		}
 		if c.Deleted {
@@ -161,7 +161,7 @@
 		}
 		old[c.Key] = c.KV
 	}
-	return old, until
+	return old, staleRevision
 }
 
 // Commit runs a transaction.
--- a/internal/standin/kvsim/server.go
+++ b/internal/standin/kvsim/server.go
@@ -16,7 +16,8 @@
 type Platform struct {
 	Store *MemoryStore
 	mu    sync.Mutex
-	list  []fleet.Instance
+	// list is the list that readers see, apart from the changes that have become visible since.
+	list []fleet.Instance
 	// listLag is the delay until readers see a change of the list.
 	listLag time.Duration
 	changes []listChange
@@ -208,6 +209,7 @@
 		Result result `json:"result"`
 	}{result{ID: req.ID}}
 	if ok {
+		// A TTL above 0 reports that the lease exists. The store client uses nothing else of it.
 		out.Result.TTL = 1
 	}
 	answer(w, out, err)
--- a/internal/standin/svcsim/endpoint.go
+++ b/internal/standin/svcsim/endpoint.go
@@ -29,7 +29,7 @@
 // of one service share a RunLog.
 type Endpoint struct {
 	name   string
-	book   *RunLog
+	runLog *RunLog
 	mu     sync.Mutex
 	faults Faults
 }
@@ -41,12 +41,12 @@
 	runsByBody map[string]int
 }
 
-// NewRunLog returns an empty book.
+// NewRunLog returns an empty run log.
 func NewRunLog() *RunLog {
 	return &RunLog{runsByBody: map[string]int{}}
 }
 
-// Runs returns how often a call with the body ran.
+// Runs returns how often a non-idempotent call with the body ran; 0 if it never did.
 func (b *RunLog) Runs(body string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -64,6 +64,7 @@
 	return out
 }
 
+// record counts a run of a call with the body and returns the number of distinct bodies.
 func (b *RunLog) record(body string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -71,9 +72,9 @@
 	return len(b.runsByBody)
 }
 
-// New returns an endpoint of the named service that records its calls in book.
-func New(name string, book *RunLog) *Endpoint {
-	return &Endpoint{name: name, book: book}
+// New returns an endpoint of the named service that records its calls in runLog.
+func New(name string, runLog *RunLog) *Endpoint {
+	return &Endpoint{name: name, runLog: runLog}
 }
 
 // SetFaults replaces the fault switches.
@@ -120,10 +121,10 @@
 	}{Service: s.name, Path: c.Path}
 	status := http.StatusOK
 	if c.Method != http.MethodGet && c.Method != http.MethodHead {
-		out.Entries = s.book.record(string(c.Body))
+		out.Entries = s.runLog.record(string(c.Body))
 		status = http.StatusCreated
 	} else {
-		out.Entries = len(s.book.RunsByBody())
+		out.Entries = len(s.runLog.RunsByBody())
 	}
 	body, err := json.Marshal(out)
 	if err != nil {
@@ -145,7 +146,7 @@
 	})
 	mux.HandleFunc("GET /stats", func(w http.ResponseWriter, _ *http.Request) {
 		// A write error means that the caller has disconnected.
-		_ = json.NewEncoder(w).Encode(s.book.RunsByBody())
+		_ = json.NewEncoder(w).Encode(s.runLog.RunsByBody())
 	})
 	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
