--- a/test/contract/back_test.go
+++ b/test/contract/back_test.go
@@ -24,7 +24,7 @@
 	prompt    = json.RawMessage(`[{"role":"user","content":"x"}]`)
 )
 
-// chat returns the body of a chat request for at most tokens tokens.
+// chat returns the body of a chat request with the given value of max_tokens.
 func chat(tokens string) json.RawMessage {
 	return json.RawMessage(`{"messages":` + string(prompt) + `,"max_tokens":` + tokens + `}`)
 }
@@ -67,7 +67,7 @@
 				Expect(fenced.Current).To(Equal(int64(5)))
 			})
 
-			It("runs the order's Check before it sends a message", func() {
+			It("calls the order's Authorize before it sends a message and stops at its error", func() {
 				refused := &engine.Fenced{Given: 1, Current: 2}
 				err := e.Load(ctx, engine.Order{Item: baseModel, Bytes: 1, Fence: 1, Authorize: func(context.Context) error { return refused }})
 				Expect(err).To(MatchError(refused))
@@ -141,12 +141,12 @@
 	for name, newService := range services() {
 		Context(name, func() {
 			var s *svcsim.Endpoint
-			var book *svcsim.RunLog
+			var runLog *svcsim.RunLog
 			var p plain.Service
 
 			BeforeEach(func() {
-				book = svcsim.NewRunLog()
-				s = svcsim.New("desk", book)
+				runLog = svcsim.NewRunLog()
+				s = svcsim.New("desk", runLog)
 				p = newService(s)
 			})
 
@@ -161,18 +161,18 @@
 				Expect(err).NotTo(HaveOccurred())
 				Expect(answer.Status).To(Equal(http.StatusCreated))
 				Expect(string(answer.Body)).To(ContainSubstring(`"Path":"/order"`))
-				Expect(book.Runs("one")).To(Equal(1))
+				Expect(runLog.Runs("one")).To(Equal(1))
 			})
 
-			It("returns Lost when the answer is lost, as the call may have run", func() {
+			It("returns LostResponse when the answer is lost, because the call may have run", func() {
 				s.SetFaults(svcsim.Faults{LoseAnswers: 1})
 				_, err := call(5 * time.Second)
 				var lost *plain.LostResponse
 				Expect(errors.As(err, &lost)).To(BeTrue())
-				Expect(book.Runs("one")).To(Equal(1))
+				Expect(runLog.Runs("one")).To(Equal(1))
 			})
 
-			It("returns Lost when a call hangs until its deadline, as the call may have run", func() {
+			It("returns LostResponse when a call hangs until its deadline, because the call may have run", func() {
 				s.SetFaults(svcsim.Faults{Hang: true})
 				_, err := call(100 * time.Millisecond)
 				var lost *plain.LostResponse
@@ -192,7 +192,7 @@
 
 var _ = Describe("instance list", func() {
 	for name, newList := range lists() {
-		It(name+" shows an instance and its leaving mark only after the list lag", func() {
+		It(name+" shows a new instance and that it is leaving only after the list lag", func() {
 			p := kvsim.NewPlatform(1, 100*time.Millisecond, nil)
 			l := newList(p)
 			want := []fleet.Instance{{Name: "e", Role: "agent", Address: "a:1", Region: "r", Domain: "d", Leaving: true}}
--- a/test/contract/store_test.go
+++ b/test/contract/store_test.go
@@ -126,7 +126,7 @@
 				Expect(got[1].Deleted).To(BeTrue())
 			})
 
-			It("returns Away for a call without an answer, marked Unsettled for a write", func() {
+			It("returns Unavailable for a call without an answer, with MayHaveApplied set for a write", func() {
 				m.SetFaults(kvsim.Faults{Away: true})
 				_, err := s.Commit(ctx, store.Txn{Puts: []store.Put{{Key: "x"}}})
 				var away *fault.Unavailable
--- a/test/memnet/pipes.go
+++ b/test/memnet/network.go
@@ -83,7 +83,7 @@
 	return stop
 }
 
-// Close stops all servers that Serve started and waits for them.
+// Close stops all servers that Serve has started and waits until they have ended.
 func (n *Network) Close() {
 	for _, stop := range n.stopFuncs {
 		stop()
--- a/test/procs/procs_test.go
+++ b/test/procs/procs_test.go
@@ -35,6 +35,7 @@
 }
 
 const (
+	// startTimeout bounds each wait for a process or its configuration, and for an exit.
 	startTimeout = 30 * time.Second
 	pollInterval = 100 * time.Millisecond
 )
@@ -105,6 +106,7 @@
 	Eventually(exited, startTimeout, pollInterval).Should(Receive(Succeed()))
 }
 
+// killAll kills all processes that still run.
 func (d *deployment) killAll() {
 	for name := range d.processes {
 		d.kill(name)
--- a/test/proofs/answers_test.go
+++ b/test/proofs/answers_test.go
@@ -21,7 +21,7 @@
 	}{
 		{"no fault", func(*rig) {}},
 		{"a stream breaks and resumes on the same engine", func(r *rig) {
-			r.motors[r.slotEndpoint("m", 0)].SetFaults(engsim.Faults{BreakAfter: 5})
+			r.engines[r.slotEndpoint("m", 0)].SetFaults(engsim.Faults{BreakAfter: 5})
 		}},
 		{"the replica's agent is killed during the streams", func(r *rig) { r.kill(r.agentNamed(r.slotEndpoint("m", 0)).process) }},
 		{"the agent's links are closed repeatedly", func(r *rig) {
--- a/test/proofs/bookings_test.go
+++ b/test/proofs/bookings_test.go
@@ -41,11 +41,11 @@
 	}{
 		{"no fault", func(*rig) {}},
 		{"service loses answers", func(r *rig) {
-			r.shops["book-0"].SetFaults(svcsim.Faults{LoseAnswers: 3})
-			r.shops["book-1"].SetFaults(svcsim.Faults{LoseAnswers: 3})
+			r.serviceEndpoints["book-0"].SetFaults(svcsim.Faults{LoseAnswers: 3})
+			r.serviceEndpoints["book-1"].SetFaults(svcsim.Faults{LoseAnswers: 3})
 		}},
 		{"service slow, partition owner killed", func(r *rig) {
-			r.shops["book-0"].SetFaults(svcsim.Faults{Delay: 500 * time.Millisecond})
+			r.serviceEndpoints["book-0"].SetFaults(svcsim.Faults{Delay: 500 * time.Millisecond})
 			time.Sleep(300 * time.Millisecond)
 			r.kill(r.agentNamed("book-0").process)
 		}},
@@ -128,16 +128,16 @@
 	time.Sleep(30 * time.Second)
 	counts := map[string]int{}
 	for body, list := range outcomes {
-		runs := r.books["book"].Runs(body)
+		runs := r.runLogs["book"].Runs(body)
 		r.g.Expect(runs).To(BeNumerically("<=", 1), "%s ran %d times", body, runs)
 		allNotRun := true
-		for _, e := range list {
-			counts[fmt.Sprintf("%d%s", e.status, e.errorCode)]++
-			r.g.Expect(e.elapsed).To(BeNumerically("<=", 12*time.Second))
-			if e.status == http.StatusCreated {
+		for _, got := range list {
+			counts[fmt.Sprintf("%d%s", got.status, got.errorCode)]++
+			r.g.Expect(got.elapsed).To(BeNumerically("<=", 12*time.Second))
+			if got.status == http.StatusCreated {
 				r.g.Expect(runs).To(Equal(1), "%s was answered but did not run", body)
 			}
-			allNotRun = allNotRun && e.notRun == "true"
+			allNotRun = allNotRun && got.notRun == "true"
 		}
 		if allNotRun {
 			r.g.Expect(runs).To(BeZero(), "every answer reported %s as not run, but it ran", body)
@@ -155,7 +155,7 @@
 		got := r.entryNamed("entry-1").book("book", "two", "k", 5*time.Second)
 		r.g.Expect(got.status).To(Equal(http.StatusUnprocessableEntity))
 		r.g.Expect(got.notRun).To(Equal("true"))
-		r.g.Expect(r.books["book"].Runs("two")).To(BeZero())
+		r.g.Expect(r.runLogs["book"].Runs("two")).To(BeZero())
 	})
 }
 
@@ -167,10 +167,10 @@
 		r.g.Expect(r.anyEntry().book("book", "one", "k", 5*time.Second).status).To(Equal(http.StatusCreated))
 		time.Sleep(9 * time.Minute)
 		r.g.Expect(r.entryNamed("entry-1").book("book", "one", "k", 5*time.Second).status).To(Equal(http.StatusCreated))
-		r.g.Expect(r.books["book"].Runs("one")).To(Equal(1))
+		r.g.Expect(r.runLogs["book"].Runs("one")).To(Equal(1))
 		time.Sleep(15 * time.Minute)
 		r.g.Expect(r.entryNamed("entry-1").book("book", "one", "k", 5*time.Second).status).To(Equal(http.StatusCreated))
-		r.g.Expect(r.books["book"].Runs("one")).To(Equal(2))
+		r.g.Expect(r.runLogs["book"].Runs("one")).To(Equal(2))
 	})
 }
 
@@ -192,7 +192,7 @@
 				r.g.Expect(got.outcome).To(Equal("Unknown"))
 				unknown++
 			}
-			r.g.Expect(r.books["book"].Runs(fmt.Sprint(i))).To(Equal(1))
+			r.g.Expect(r.runLogs["book"].Runs(fmt.Sprint(i))).To(Equal(1))
 		}
 		r.g.Expect(unknown).To(BeNumerically(">", 0))
 	})
@@ -214,8 +214,8 @@
 			}
 		}},
 		{"revocation at the deadline races with the run", func(r *rig) {
-			r.shops["book-0"].SetFaults(svcsim.Faults{Delay: 1900 * time.Millisecond})
-			r.shops["book-1"].SetFaults(svcsim.Faults{Delay: 2100 * time.Millisecond})
+			r.serviceEndpoints["book-0"].SetFaults(svcsim.Faults{Delay: 1900 * time.Millisecond})
+			r.serviceEndpoints["book-1"].SetFaults(svcsim.Faults{Delay: 2100 * time.Millisecond})
 		}},
 		{"agent restarted repeatedly", func(r *rig) {
 			for range 3 {
@@ -226,11 +226,11 @@
 			}
 		}},
 		{"service runs the call and loses the answer", func(r *rig) {
-			r.shops["book-0"].SetFaults(svcsim.Faults{LoseAnswers: 10})
-			r.shops["book-1"].SetFaults(svcsim.Faults{LoseAnswers: 10})
+			r.serviceEndpoints["book-0"].SetFaults(svcsim.Faults{LoseAnswers: 10})
+			r.serviceEndpoints["book-1"].SetFaults(svcsim.Faults{LoseAnswers: 10})
 		}},
-		{"service refuses the call", func(r *rig) { r.shops["book-0"].SetFaults(svcsim.Faults{Refuse: true}) }},
-		{"service hangs", func(r *rig) { r.shops["book-0"].SetFaults(svcsim.Faults{Hang: true}) }},
+		{"service refuses the call", func(r *rig) { r.serviceEndpoints["book-0"].SetFaults(svcsim.Faults{Refuse: true}) }},
+		{"service hangs", func(r *rig) { r.serviceEndpoints["book-0"].SetFaults(svcsim.Faults{Hang: true}) }},
 		{"links drop all bytes", func(r *rig) { r.net.silence("addr-book-0", "") }},
 	}
 	for _, c := range cases {
@@ -257,17 +257,17 @@
 				runAll(fns...)
 				time.Sleep(20 * time.Second)
 				counts := map[string]int{}
-				for body, e := range outcomes {
-					runs := r.books["book"].Runs(body)
-					counts[fmt.Sprintf("%d%s", e.status, e.errorCode)]++
-					r.g.Expect(e.elapsed).To(BeNumerically("<=", 2*time.Second))
+				for body, got := range outcomes {
+					runs := r.runLogs["book"].Runs(body)
+					counts[fmt.Sprintf("%d%s", got.status, got.errorCode)]++
+					r.g.Expect(got.elapsed).To(BeNumerically("<=", 2*time.Second))
 					switch {
-					case e.status == http.StatusCreated:
+					case got.status == http.StatusCreated:
 						r.g.Expect(runs).To(Equal(1), body)
-					case e.notRun == "true":
-						r.g.Expect(runs).To(BeZero(), "%s: %+v", body, e)
+					case got.notRun == "true":
+						r.g.Expect(runs).To(BeZero(), "%s: %+v", body, got)
 					default:
-						r.g.Expect(e.outcome).To(Equal("Unknown"), "%s: %+v", body, e)
+						r.g.Expect(got.outcome).To(Equal("Unknown"), "%s: %+v", body, got)
 						r.g.Expect(runs).To(BeNumerically("<=", 1), body)
 					}
 				}
--- a/test/proofs/deadline_test.go
+++ b/test/proofs/deadline_test.go
@@ -20,10 +20,10 @@
 		name  string
 		fault func(r *rig)
 	}{
-		{"engine hangs in load and unload orders", func(r *rig) { r.motors["engine-0"].SetFaults(engsim.Faults{HangOrders: true}) }},
+		{"engine hangs in load and unload orders", func(r *rig) { r.engines["engine-0"].SetFaults(engsim.Faults{HangOrders: true}) }},
 		{"engine hangs while it generates tokens", func(r *rig) {
 			time.Sleep(5 * time.Second)
-			r.motors["engine-0"].SetFaults(engsim.Faults{HangTokens: true})
+			r.engines["engine-0"].SetFaults(engsim.Faults{HangTokens: true})
 		}},
 		{"endpoint disappears while requests wait", func(r *rig) {
 			time.Sleep(2 * time.Second)
@@ -72,7 +72,7 @@
 		desk := service("desk")
 		desk.Service.Concurrency = 4
 		r.applyAndWait(r.anyEntry(), desk)
-		r.shops["desk-0"].SetFaults(svcsim.Faults{Delay: 2 * time.Second})
+		r.serviceEndpoints["desk-0"].SetFaults(svcsim.Faults{Delay: 2 * time.Second})
 		const quotes = 20
 		var fns []func()
 		for range quotes {
@@ -101,7 +101,7 @@
 		desk := service("desk")
 		desk.Service.Concurrency = 2
 		r.applyAndWait(r.anyEntry(), desk)
-		r.shops["desk-0"].SetFaults(svcsim.Faults{Delay: time.Second})
+		r.serviceEndpoints["desk-0"].SetFaults(svcsim.Faults{Delay: time.Second})
 		var fns []func()
 		for i := range 250 {
 			fns = append(fns, func() {
--- a/test/proofs/drain_test.go
+++ b/test/proofs/drain_test.go
@@ -60,11 +60,11 @@
 					mu.Unlock()
 					c.leave(r, leaving)
 					time.Sleep(newWorkLimit)
-					generated = r.motors[leaving].Stats().Generated
+					generated = r.engines[leaving].Stats().Generated
 				})
 				runAll(fns...)
 				r.g.Expect(leftAt.IsZero()).To(BeFalse())
-				r.g.Expect(r.motors[leaving].Stats().Generated).To(Equal(generated), "the endpoint got new work more than %s after it left", newWorkLimit)
+				r.g.Expect(r.engines[leaving].Stats().Generated).To(Equal(generated), "the endpoint got new work more than %s after it left", newWorkLimit)
 			})
 		})
 	}
--- a/test/proofs/history_test.go
+++ b/test/proofs/history_test.go
@@ -31,16 +31,16 @@
 }
 
 // register is the sequential specification of a resource under compare-and-swap.
-// Its state is the revision.
+// Its state is the revision. A write with an unknown result counts as not applied.
 var register = porcupine.Model{
 	Init: func() any { return int64(0) },
 	Step: func(state, input, output any) (bool, any) {
-		revision, w, v := state.(int64), input.(write), output.(writeResult)
-		switch v.status {
+		revision, w, result := state.(int64), input.(write), output.(writeResult)
+		switch result.status {
 		case http.StatusOK:
-			return revision == w.expected && v.revision > revision, v.revision
+			return revision == w.expected && result.revision > revision, result.revision
 		case http.StatusConflict:
-			return revision == v.revision && revision != w.expected, revision
+			return revision == result.revision && revision != w.expected, revision
 		}
 		return true, revision
 	},
--- a/test/proofs/memory_test.go
+++ b/test/proofs/memory_test.go
@@ -68,10 +68,10 @@
 					})
 				}
 				if c.fault != nil {
-					fns = append(fns, func() { c.fault(r, r.motors["engine-0"]) })
+					fns = append(fns, func() { c.fault(r, r.engines["engine-0"]) })
 				}
 				runAll(fns...)
-				r.g.Expect(r.motors["engine-0"].Stats().Loads).To(BeNumerically(">", 3))
+				r.g.Expect(r.engines["engine-0"].Stats().Loads).To(BeNumerically(">", 3))
 			})
 		})
 	}
@@ -103,7 +103,7 @@
 		r.g.Expect(r.anyEntry().request("DELETE", "/admin/v1/Model/m0", "", nil).Code).To(Equal(200))
 		r.restart("engine-0")
 		r.eventually(time.Minute, func() string {
-			return fmt.Sprint(r.motors["engine-0"].LoadedItems())[1 : len(fmt.Sprint(r.motors["engine-0"].LoadedItems()))-1]
+			return fmt.Sprint(r.engines["engine-0"].LoadedItems())[1 : len(fmt.Sprint(r.engines["engine-0"].LoadedItems()))-1]
 		})
 	})
 }
--- a/test/proofs/random_test.go
+++ b/test/proofs/random_test.go
@@ -20,8 +20,8 @@
 // TestMain fixes the seed of the drawn faults.
 func TestMain(m *testing.M) { seeds.RunTests(m, 12) }
 
-// drawnFault is one random fault: its kind, its time after the start, and the index
-// of the endpoint or entry that it strikes.
+// drawnFault is one random fault: its kind, its time after the start of the workload, and
+// the index of the endpoint or entry that it affects.
 type drawnFault struct {
 	Kind        string
 	Delay       time.Duration
@@ -46,12 +46,13 @@
 	}), 1, 8).Draw(t, "faults")
 }
 
-// injectFault injects one fault at its time, and ends it after faultDuration if it
-// is one that lasts.
+// injectFault injects one fault at its time. Faults of the store and of engines,
+// partitions, and a cut connection to the store end after faultDuration; the others are
+// not undone.
 func (r *rig) injectFault(f drawnFault) {
 	time.Sleep(f.Delay)
-	engineName, book, entryName := fmt.Sprintf("engine-%d", f.TargetIndex), fmt.Sprintf("book-%d", f.TargetIndex%2), fmt.Sprintf("entry-%d", f.TargetIndex%2)
-	a, b, e := r.agentNamed(engineName), r.agentNamed(book), r.entryNamed(entryName)
+	engineName, serviceName, entryName := fmt.Sprintf("engine-%d", f.TargetIndex), fmt.Sprintf("book-%d", f.TargetIndex%2), fmt.Sprintf("entry-%d", f.TargetIndex%2)
+	engineAgent, serviceAgent, targetEntry := r.agentNamed(engineName), r.agentNamed(serviceName), r.entryNamed(entryName)
 	const faultDuration = 6 * time.Second
 	storeFault := func(s kvsim.Faults) {
 		r.platform.Store.SetFaults(s)
@@ -59,35 +60,35 @@
 		r.platform.Store.SetFaults(kvsim.Faults{})
 	}
 	engineFault := func(m engsim.Faults) {
-		r.motors[engineName].SetFaults(m)
+		r.engines[engineName].SetFaults(m)
 		time.Sleep(faultDuration)
-		r.motors[engineName].SetFaults(engsim.Faults{})
+		r.engines[engineName].SetFaults(engsim.Faults{})
 	}
 	switch f.Kind {
 	case "kill agent":
-		r.killAndRestart(a, func() { r.restart(engineName) })
+		r.killAndRestart(engineAgent, func() { r.restart(engineName) })
 	case "kill service agent":
-		r.killAndRestart(b, func() { r.startServiceAgent(book, "d"+strconv.Itoa(f.TargetIndex%2), "book") })
+		r.killAndRestart(serviceAgent, func() { r.startServiceAgent(serviceName, "d"+strconv.Itoa(f.TargetIndex%2), "book") })
 	case "kill entry":
-		if e != nil && f.TargetIndex == 1 {
-			r.killEntry(e)
+		if targetEntry != nil && f.TargetIndex == 1 {
+			r.killEntry(targetEntry)
 		}
 	case "drain agent":
-		if a != nil {
-			a.Worker.Drain()
+		if engineAgent != nil {
+			engineAgent.Worker.Drain()
 		}
 	case "cut links":
 		r.net.closeLinks("addr-" + engineName)
-		r.net.closeLinks("addr-" + book)
+		r.net.closeLinks("addr-" + serviceName)
 	case "silence links":
 		r.net.silence("addr-"+engineName, "")
-		r.net.silence("addr-"+book, "")
+		r.net.silence("addr-"+serviceName, "")
 	case "part":
 		r.net.partition("addr-"+entryName, "addr-"+engineName)
-		r.net.partition("addr-"+entryName, "addr-"+book)
+		r.net.partition("addr-"+entryName, "addr-"+serviceName)
 		time.Sleep(faultDuration)
 		r.net.heal("addr-"+entryName, "addr-"+engineName)
-		r.net.heal("addr-"+entryName, "addr-"+book)
+		r.net.heal("addr-"+entryName, "addr-"+serviceName)
 	case "store away":
 		storeFault(kvsim.Faults{Away: true})
 	case "store slow":
@@ -99,10 +100,10 @@
 	case "mute watches":
 		storeFault(kvsim.Faults{MuteWatches: true})
 	case "cut store of one":
-		if a != nil {
-			a.gate.setCut(true)
+		if engineAgent != nil {
+			engineAgent.gate.setCut(true)
 			time.Sleep(faultDuration)
-			a.gate.setCut(false)
+			engineAgent.gate.setCut(false)
 		}
 	case "engine loses answers":
 		engineFault(engsim.Faults{LoseAnswers: 3})
@@ -115,9 +116,9 @@
 	case "loads fail":
 		engineFault(engsim.Faults{FailLoads: 2})
 	case "service loses answers":
-		r.shops[book].SetFaults(svcsim.Faults{LoseAnswers: 3})
+		r.serviceEndpoints[serviceName].SetFaults(svcsim.Faults{LoseAnswers: 3})
 	case "service slow":
-		r.shops[book].SetFaults(svcsim.Faults{Delay: 900 * time.Millisecond})
+		r.serviceEndpoints[serviceName].SetFaults(svcsim.Faults{Delay: 900 * time.Millisecond})
 	case "leaving":
 		r.markLeaving(engineName)
 	case "change model":
@@ -151,7 +152,7 @@
 // runWithFaults runs a workload under the faults. It returns the outcomes of the
 // chat requests and their expected texts by prompt, and the outcomes of the
 // bookings by body.
-func (r *rig) runWithFaults(faults []drawnFault) (chats map[string]outcome, wantTexts map[string]string, books map[string][]outcome) {
+func (r *rig) runWithFaults(faults []drawnFault) (chatOutcomes map[string]outcome, wantTexts map[string]string, bookingOutcomes map[string][]outcome) {
 	r.startEntry("entry-0", "d0")
 	r.startEntry("entry-1", "d1")
 	for i := range 3 {
@@ -160,7 +161,7 @@
 	r.startServiceAgent("book-0", "d0", "book")
 	r.startServiceAgent("book-1", "d1", "book")
 	r.applyAndWait(r.anyEntry(), model("m0", 30, 2), model("m1", 30, 1), model("m2", 40, 2), adapter("a0", "m0", 2), service("book"))
-	chats, wantTexts, books = map[string]outcome{}, map[string]string{}, map[string][]outcome{}
+	chatOutcomes, wantTexts, bookingOutcomes = map[string]outcome{}, map[string]string{}, map[string][]outcome{}
 	var mu sync.Mutex
 	var fns []func()
 	for i := range 60 {
@@ -177,7 +178,7 @@
 			got := e.chat(a)
 			mu.Lock()
 			defer mu.Unlock()
-			chats[a.prompt], wantTexts[a.prompt] = got, a.wantText()
+			chatOutcomes[a.prompt], wantTexts[a.prompt] = got, a.wantText()
 			if got.elapsed > a.timeout {
 				r.addViolations(fmt.Sprintf("%s took %s, over its timeout of %s", a.prompt, got.elapsed, a.timeout))
 			}
@@ -187,35 +188,35 @@
 			if key != "" && got.status != http.StatusCreated {
 				again := r.entryNamed("entry-0").book("book", body, key, 8*time.Second)
 				mu.Lock()
-				books[body] = append(books[body], again)
+				bookingOutcomes[body] = append(bookingOutcomes[body], again)
 				mu.Unlock()
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			books[body] = append(books[body], got)
+			bookingOutcomes[body] = append(bookingOutcomes[body], got)
 		})
 	}
 	for _, f := range faults {
 		fns = append(fns, func() { r.injectFault(f) })
 	}
 	runAll(fns...)
-	return chats, wantTexts, books
+	return chatOutcomes, wantTexts, bookingOutcomes
 }
 
 // brokenGuarantees describes each guarantee that the outcomes break.
-func (r *rig) brokenGuarantees(chats map[string]outcome, wantTexts map[string]string, books map[string][]outcome) []string {
+func (r *rig) brokenGuarantees(chatOutcomes map[string]outcome, wantTexts map[string]string, bookingOutcomes map[string][]outcome) []string {
 	var broken []string
-	for prompt, e := range chats {
-		if e.status == http.StatusOK && e.errorCode == "" && e.text != wantTexts[prompt] {
-			broken = append(broken, fmt.Sprintf("%s got the incomplete or wrong answer %q", prompt, e.text))
+	for prompt, got := range chatOutcomes {
+		if got.status == http.StatusOK && got.errorCode == "" && got.text != wantTexts[prompt] {
+			broken = append(broken, fmt.Sprintf("%s got the incomplete or wrong answer %q", prompt, got.text))
 		}
 	}
-	for body, list := range books {
-		runs := r.books["book"].Runs(body)
+	for body, list := range bookingOutcomes {
+		runs := r.runLogs["book"].Runs(body)
 		allNotRun := true
-		for _, e := range list {
-			allNotRun = allNotRun && e.notRun == "true"
-			if e.status == http.StatusCreated && runs != 1 {
+		for _, got := range list {
+			allNotRun = allNotRun && got.notRun == "true"
+			if got.status == http.StatusCreated && runs != 1 {
 				broken = append(broken, fmt.Sprintf("%s was answered as created but ran %d times", body, runs))
 			}
 		}
@@ -223,7 +224,7 @@
 			broken = append(broken, fmt.Sprintf("%s ran %d times, all refused as not run: %t", body, runs, allNotRun))
 		}
 	}
-	for name, m := range r.motors {
+	for name, m := range r.engines {
 		if n := m.Stats().Overcommits; n > 0 {
 			broken = append(broken, fmt.Sprintf("memory of %s was overcommitted %d times", name, n))
 		}
@@ -237,20 +238,20 @@
 	n := seed(t)
 	rapid.Check(t, func(rt *rapid.T) {
 		faults := drawFaults(rt)
-		var bad []string
+		var violations []string
 		synctest.Test(t, func(t *testing.T) {
 			r := newRig(t, n, time.Second)
-			chats, wantTexts, books := r.runWithFaults(faults)
+			chatOutcomes, wantTexts, bookingOutcomes := r.runWithFaults(faults)
 			time.Sleep(20 * time.Second)
 			r.platform.Store.SetFaults(kvsim.Faults{})
 			time.Sleep(30 * time.Second)
-			revision := r.nodesNotConverged()
-			bad = append(r.brokenGuarantees(chats, wantTexts, books), revision...)
+			notConverged := r.nodesNotConverged()
+			violations = append(r.brokenGuarantees(chatOutcomes, wantTexts, bookingOutcomes), notConverged...)
 			r.closeNodes()
-			bad = append(bad, r.violations...)
+			violations = append(violations, r.violations...)
 		})
-		if len(bad) > 0 {
-			rt.Fatalf("broken guarantees under the faults %+v:\n%v", faults, bad)
+		if len(violations) > 0 {
+			rt.Fatalf("broken guarantees under the faults %+v:\n%v", faults, violations)
 		}
 	})
 }
@@ -263,8 +264,8 @@
 		return []string{fmt.Sprintf("a change after the faults was refused with status %d", status)}
 	}
 	time.Sleep(inForceLimit)
-	if what := r.nodeBehind(revision); what != "" {
-		return []string{what}
+	if behind := r.nodeBehind(revision); behind != "" {
+		return []string{behind}
 	}
 	return nil
 }
--- a/test/proofs/replicas_test.go
+++ b/test/proofs/replicas_test.go
@@ -43,8 +43,8 @@
 // countOutcomes counts outcomes by status and error code.
 func countOutcomes(outcomes []outcome) map[string]int {
 	out := map[string]int{}
-	for _, e := range outcomes {
-		out[fmt.Sprintf("%d%s", e.status, e.errorCode)]++
+	for _, got := range outcomes {
+		out[fmt.Sprintf("%d%s", got.status, got.errorCode)]++
 	}
 	return out
 }
@@ -156,8 +156,8 @@
 					},
 					func() { c.fault(r) },
 				)
-				for _, e := range outcomes {
-					r.g.Expect(e.elapsed).To(BeNumerically("<=", 40*time.Second))
+				for _, got := range outcomes {
+					r.g.Expect(got.elapsed).To(BeNumerically("<=", 40*time.Second))
 				}
 				r.platform.Store.SetFaults(kvsim.Faults{})
 				time.Sleep(40 * time.Second)
@@ -179,7 +179,7 @@
 
 // restart starts a new agent for an engine that has kept running.
 func (r *rig) restart(name string) *agentNode {
-	return r.startEngineAgent(name, "d"+strings.TrimPrefix(name, "engine-"), r.motorSettings[name])
+	return r.startEngineAgent(name, "d"+strings.TrimPrefix(name, "engine-"), r.engineSettings[name])
 }
 
 // anyEntry returns the first live entry by name, or nil.
--- a/test/proofs/rig_test.go
+++ b/test/proofs/rig_test.go
@@ -49,22 +49,25 @@
 
 // rig is a deployment inside one synctest bubble.
 type rig struct {
-	t             *testing.T
-	g             *WithT
-	net           *faultyNetwork
-	platform      *kvsim.Platform
-	listLag       time.Duration
-	mu            sync.Mutex
-	entries       map[string]*entryNode
-	agents        map[string]*agentNode
-	motors        map[string]*engsim.Engine
-	motorSettings map[string]engsim.Settings
-	books         map[string]*svcsim.RunLog
-	shops         map[string]*svcsim.Endpoint
-	list          []fleet.Instance
-	group         conc.WaitGroup
-	stop          chan struct{}
-	violations    []string
+	t        *testing.T
+	g        *WithT
+	net      *faultyNetwork
+	platform *kvsim.Platform
+	listLag  time.Duration
+	mu       sync.Mutex
+	entries  map[string]*entryNode
+	agents   map[string]*agentNode
+	// engines and engineSettings hold the engine of each endpoint and its settings, serviceEndpoints the endpoints of
+	// plain services, all by node name, and runLogs the calls that ran, by service name. They outlive their agents.
+	engines          map[string]*engsim.Engine
+	engineSettings   map[string]engsim.Settings
+	runLogs          map[string]*svcsim.RunLog
+	serviceEndpoints map[string]*svcsim.Endpoint
+	// instances is the newest instance list, which nodes see after listLag.
+	instances  []fleet.Instance
+	group      conc.WaitGroup
+	stop       chan struct{}
+	violations []string
 	// startWithoutStore starts further nodes with their connection to the store cut.
 	startWithoutStore bool
 }
@@ -110,8 +113,8 @@
 func newRig(t *testing.T, seed uint64, listLag time.Duration) *rig {
 	r := &rig{
 		t: t, g: NewWithT(t), net: newFaultyNetwork(), platform: kvsim.NewPlatform(seed, listLag, nil), listLag: listLag,
-		entries: map[string]*entryNode{}, agents: map[string]*agentNode{}, motors: map[string]*engsim.Engine{}, motorSettings: map[string]engsim.Settings{},
-		books: map[string]*svcsim.RunLog{}, shops: map[string]*svcsim.Endpoint{}, stop: make(chan struct{}),
+		entries: map[string]*entryNode{}, agents: map[string]*agentNode{}, engines: map[string]*engsim.Engine{}, engineSettings: map[string]engsim.Settings{},
+		runLogs: map[string]*svcsim.RunLog{}, serviceEndpoints: map[string]*svcsim.Endpoint{}, stop: make(chan struct{}),
 	}
 	r.group.Go(r.watchInvariants)
 	return r
@@ -121,7 +124,7 @@
 // the test.
 func (r *rig) close() {
 	r.closeNodes()
-	for name, m := range r.motors {
+	for name, m := range r.engines {
 		r.g.Expect(m.Stats().Overcommits).To(BeZero(), "accelerator memory of %s was overcommitted", name)
 	}
 	r.g.Expect(r.violations).To(BeEmpty(), "guarantees broken during the test")
@@ -168,7 +171,7 @@
 	ctx, cancel := context.WithTimeout(ctx, 1500*time.Millisecond)
 	defer cancel()
 	<-ctx.Done()
-	return awayError(ctx)
+	return unavailableError(ctx)
 }
 
 func (s *gatedStore) Range(ctx context.Context, prefix string) (store.List, error) {
@@ -212,7 +215,7 @@
 			cut := s.cut
 			s.mu.Unlock()
 			if cut {
-				return awayError(ctx)
+				return unavailableError(ctx)
 			}
 			after = b.Revision
 			return fn(b)
@@ -226,13 +229,13 @@
 	return ctx.Err()
 }
 
-// visibleInstances is the instance list as it is visible after the lag. Calls fail
+// laggingInstances is the instance list as it is visible after the lag. Calls fail
 // while the store is away.
-type visibleInstances struct{ *kvsim.Platform }
+type laggingInstances struct{ *kvsim.Platform }
 
-func (i visibleInstances) Instances(context.Context) ([]fleet.Instance, error) {
+func (i laggingInstances) Instances(context.Context) ([]fleet.Instance, error) {
 	if i.Store.Faults().Away {
-		return nil, awayError(context.Background())
+		return nil, unavailableError(context.Background())
 	}
 	return i.VisibleInstances(), nil
 }
@@ -252,7 +255,7 @@
 	gate := &gatedStore{Store: r.platform.Store, cut: r.startWithoutStore}
 	return member.Options{
 		Self: node, Listener: r.net.listen(node.Address), Dial: r.net.dialer(node.Address), Store: gate,
-		Instances: visibleInstances{r.platform}, Metrics: metrics.NewSet(), Log: logger(r.t),
+		Instances: laggingInstances{r.platform}, Metrics: metrics.NewSet(), Log: logger(r.t),
 	}, gate
 }
 
@@ -273,8 +276,8 @@
 func (r *rig) updateList(change func([]fleet.Instance) []fleet.Instance) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.list = change(append([]fleet.Instance(nil), r.list...))
-	r.platform.SetInstances(r.list)
+	r.instances = change(append([]fleet.Instance(nil), r.instances...))
+	r.platform.SetInstances(r.instances)
 }
 
 // removeFromList removes an instance from the platform's list.
@@ -303,9 +306,9 @@
 // startEntry starts an entry.
 func (r *rig) startEntry(name, domain string) *entryNode {
 	o, gate := r.options(plan.Node{Name: name, Role: plan.Entry, Domain: domain})
-	set := conf.DefaultEntry()
-	set.GoneAfter = kinds.Duration(r.listLag + 5*time.Second)
-	e, closeEntry := entry.New(set, o)
+	settings := conf.DefaultEntry()
+	settings.GoneAfter = kinds.Duration(r.listLag + 5*time.Second)
+	e, closeEntry := entry.New(settings, o)
 	tr, closeTree := tree.New(context.Background(), o.Log)
 	tr.OnClose(closeEntry)
 	e.Start(tr, nil)
@@ -328,39 +331,39 @@
 // once and keeps running when its agents end.
 func (r *rig) startEngineAgent(name, domain string, s engsim.Settings) *agentNode {
 	r.mu.Lock()
-	m := r.motors[name]
+	m := r.engines[name]
 	if m == nil {
 		m = engsim.New(s)
-		r.motors[name] = m
-		r.motorSettings[name] = s
+		r.engines[name] = m
+		r.engineSettings[name] = s
 	}
 	r.mu.Unlock()
 	o, gate := r.options(plan.Node{Name: name, Role: plan.Agent, Domain: domain, Back: plan.EngineEndpoint, MemoryBytes: s.MemoryBytes})
-	set := conf.DefaultAgent()
-	set.Engine = &conf.Engine{
+	settings := conf.DefaultAgent()
+	settings.Engine = &conf.Engine{
 		URL: "http://engine", MemoryBytes: s.MemoryBytes, ChecksFence: s.CheckFence, ReportLag: kinds.Duration(s.MaxReportAge), OrderTimeout: kinds.Duration(time.Minute),
 	}
-	return r.startAgentProcess(name, set, o, gate, agent.BackEnds{Engine: m})
+	return r.startAgentProcess(name, settings, o, gate, agent.BackEnds{Engine: m})
 }
 
 // startServiceAgent starts an agent for an endpoint of a plain service. The service
 // and its record of calls keep running when the agent ends.
 func (r *rig) startServiceAgent(name, domain, service string) *agentNode {
-	if r.books[service] == nil {
-		r.books[service] = svcsim.NewRunLog()
+	if r.runLogs[service] == nil {
+		r.runLogs[service] = svcsim.NewRunLog()
 	}
-	if r.shops[name] == nil {
-		r.shops[name] = svcsim.New(service, r.books[service])
+	if r.serviceEndpoints[name] == nil {
+		r.serviceEndpoints[name] = svcsim.New(service, r.runLogs[service])
 	}
 	o, gate := r.options(plan.Node{Name: name, Role: plan.Agent, Domain: domain, Back: plan.ServiceEndpoint, Service: service})
-	set := conf.DefaultAgent()
-	set.Service = &conf.Service{Name: service, URL: "http://service"}
-	return r.startAgentProcess(name, set, o, gate, agent.BackEnds{Plain: r.shops[name]})
+	settings := conf.DefaultAgent()
+	settings.Service = &conf.Service{Name: service, URL: "http://service"}
+	return r.startAgentProcess(name, settings, o, gate, agent.BackEnds{Plain: r.serviceEndpoints[name]})
 }
 
 // startAgentProcess starts an agent with the given settings and back ends.
-func (r *rig) startAgentProcess(name string, set conf.Agent, o member.Options, gate *gatedStore, backs agent.BackEnds) *agentNode {
-	a, closeAgent := agent.New(set, o, backs)
+func (r *rig) startAgentProcess(name string, settings conf.Agent, o member.Options, gate *gatedStore, backs agent.BackEnds) *agentNode {
+	a, closeAgent := agent.New(settings, o, backs)
 	tr, closeTree := tree.New(context.Background(), o.Log)
 	tr.OnClose(closeAgent)
 	a.Start(tr, nil)
@@ -451,14 +454,14 @@
 // check repeats until the engines are unchanged before and after it.
 func (r *rig) checkReplicaCounts() {
 	for {
-		held := r.loadedReplicas()
+		loaded := r.loadedReplicas()
 		var exceeded []string
-		for model, n := range held {
-			if d := r.plannedSlots(model); n > d {
-				exceeded = append(exceeded, fmt.Sprintf("%s: %d replicas loaded, %d slots planned", model, n, d))
+		for model, n := range loaded {
+			if planned := r.plannedSlots(model); n > planned {
+				exceeded = append(exceeded, fmt.Sprintf("%s: %d replicas loaded, %d slots planned", model, n, planned))
 			}
 		}
-		if maps.Equal(held, r.loadedReplicas()) {
+		if maps.Equal(loaded, r.loadedReplicas()) {
 			r.addViolations(exceeded...)
 			return
 		}
@@ -467,17 +470,17 @@
 
 // loadedReplicas returns the number of loaded replicas of each model over all engines.
 func (r *rig) loadedReplicas() map[string]int {
-	held := map[string]int{}
+	loaded := map[string]int{}
 	r.mu.Lock()
-	for _, m := range r.motors {
+	for _, m := range r.engines {
 		for _, i := range m.LoadedItems() {
 			if i.Adapter == "" {
-				held[i.Model]++
+				loaded[i.Model]++
 			}
 		}
 	}
 	r.mu.Unlock()
-	return held
+	return loaded
 }
 
 // plannedSlots returns the number of slots in the store's plan of a model.
@@ -497,7 +500,7 @@
 // loadCount returns the number of loads over all engines.
 func (r *rig) loadCount() int {
 	n := 0
-	for _, m := range r.motors {
+	for _, m := range r.engines {
 		n += m.Stats().Loads
 	}
 	return n
@@ -584,9 +587,9 @@
 func (r *rig) eventually(limit time.Duration, missing func() string) {
 	r.t.Helper()
 	end := time.Now().Add(limit)
-	for what := missing(); what != ""; what = missing() {
+	for lacking := missing(); lacking != ""; lacking = missing() {
 		if time.Now().After(end) {
-			r.t.Fatalf("still missing after %s: %s", limit, what)
+			r.t.Fatalf("still missing after %s: %s", limit, lacking)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
--- a/test/proofs/silent_test.go
+++ b/test/proofs/silent_test.go
@@ -112,8 +112,8 @@
 // checks that the call isn't sent again on another connection.
 func TestSilentLinkToAPlainService(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		book := svcsim.NewRunLog()
-		s := svcsim.New("desk", book)
+		runLog := svcsim.NewRunLog()
+		s := svcsim.New("desk", runLog)
 		s.SetFaults(svcsim.Faults{Delay: 500 * time.Millisecond})
 		withFaultyNetwork(t, s.Handler(), func(g *WithT, f *faultyNetwork, transport func() *http.Transport) {
 			noReuse := transport()
@@ -126,7 +126,7 @@
 			_, err = c.Do(ctx, plain.Call{Method: http.MethodPost, Path: "/", Body: []byte("one")})
 			var lost *plain.LostResponse
 			g.Expect(errors.As(err, &lost)).To(BeTrue())
-			g.Expect(book.Runs("one")).To(Equal(1))
+			g.Expect(runLog.Runs("one")).To(Equal(1))
 		})
 	})
 }
--- a/test/scale/lease_test.go
+++ b/test/scale/lease_test.go
@@ -22,7 +22,8 @@
 
 // simulateLongPolls simulates n long polls, in which the relay may hold its
 // reply for three seconds. The follower gives up the relay when the reply is
-// more than one second later than that.
+// more than one second later than that, which counts as a false expiry because
+// the relay is alive. It also returns the messages per second on an idle link.
 func simulateLongPolls(rnd *rand.Rand, stallShare float64, n int) (falseExpiries int, messagesPerSecond float64) {
 	const timeout = time.Second
 	for range n {
@@ -35,7 +36,7 @@
 
 // simulateLeases simulates n renewals under the rule of the paper: renewals at
 // a fixed interval, and a deadline three intervals after the newest receipt
-// that never moves back.
+// that never moves back. It returns the same figures as simulateLongPolls.
 func simulateLeases(rnd *rand.Rand, stallShare float64, n int) (falseExpiries int, messagesPerSecond float64) {
 	const interval = detectionTime / 3
 	receipts := make([]time.Duration, n)
--- a/test/soak/deployment_test.go
+++ b/test/soak/deployment_test.go
@@ -64,7 +64,7 @@
 	binary        string
 	memory        *kvsim.MemoryStore
 	store         *fake.Store
-	book          *fake.ExecutionLog
+	executionLog  *fake.ExecutionLog
 	mu            sync.Mutex
 	servers       []*standinServer
 	fronts        []*frontProcess
@@ -75,7 +75,7 @@
 
 // startDeployment starts the stand-ins, and then the fronts.
 func startDeployment(ctx context.Context, t *testing.T, binary, dir string, fronts int) *deployment {
-	d := &deployment{t: t, ctx: ctx, dir: dir, binary: binary, memory: kvsim.NewMemoryStore(1), book: &fake.ExecutionLog{}}
+	d := &deployment{t: t, ctx: ctx, dir: dir, binary: binary, memory: kvsim.NewMemoryStore(1), executionLog: &fake.ExecutionLog{}}
 	d.store = fake.NewStore(d.memory)
 	address := d.serve(d.store)
 	d.writeDocument()
@@ -99,7 +99,8 @@
 	return d
 }
 
-// serve serves a handler on a free port until the deployment closes.
+// serve serves a handler on a free loopback port until the deployment closes, and
+// returns its address.
 func (d *deployment) serve(h http.Handler) string {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -168,7 +169,7 @@
 	s.server = fake.NewServer(fake.Spec{
 		ID: id, Born: s.born, Service: service, Address: p.address(), Zone: "a", Slots: 16, Sizes: sizes, WeightsMb: 220000, AdapterSlots: 8,
 		LoadTime: 300 * time.Millisecond, AdapterTime: 8 * time.Millisecond, EventTime: 15 * time.Millisecond, ChecksFence: true, AdapterSizeMb: 60,
-	}, d.book, func() { d.announce(s) }, loadedModels...)
+	}, d.executionLog, func() { d.announce(s) }, loadedModels...)
 	s.http = &http.Server{Handler: s.server}
 	d.group.Go(func() { _ = s.http.Serve(lis) })
 	d.mu.Lock()
@@ -224,6 +225,7 @@
 	d.writeStore(s.server.Key(), nil)
 }
 
+// freePort returns a loopback port that was free at the time of the call.
 func (d *deployment) freePort() int {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -270,6 +272,7 @@
 	}
 }
 
+// startFront starts a front's process with its settings file.
 func (d *deployment) startFront(f *frontProcess) {
 	f.cmd = exec.Command(d.binary, "front")
 	f.cmd.Env = append(os.Environ(), "FOXTAILCROFT_CONFIG="+f.settingsFile)
@@ -289,6 +292,7 @@
 	timer.Stop()
 }
 
+// close kills the fronts and stops the stand-ins.
 func (d *deployment) close() {
 	for _, f := range d.fronts {
 		d.stopFront(f, syscall.SIGKILL)
--- a/test/soak/load_test.go
+++ b/test/soak/load_test.go
@@ -19,15 +19,18 @@
 // loadGenerator sends requests to the fronts, and compares their outcomes with
 // the calls that the stand-in servers recorded.
 type loadGenerator struct {
-	d             *deployment
-	http          *http.Client
-	requestCount  atomic.Int64
-	idPrefix      string
-	mu            sync.Mutex
+	d            *deployment
+	http         *http.Client
+	requestCount atomic.Int64
+	idPrefix     string
+	mu           sync.Mutex
+	// refusedIDs lists the requests that got status 429 or 503, and atMostOnceIDs those that no server may run
+	// more than once.
 	refusedIDs    []string
 	atMostOnceIDs []string
 	violations    []string
-	outcomes      map[string]int
+	// outcomes counts the requests by kind and status.
+	outcomes map[string]int
 }
 
 func newLoadGenerator(d *deployment, idPrefix string) *loadGenerator {
@@ -166,20 +169,20 @@
 func (c *loadGenerator) check() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	found := append(append([]string{}, c.violations...), c.d.book.Breaches()...)
+	found := append(append([]string{}, c.violations...), c.d.executionLog.Breaches()...)
 	for _, id := range c.atMostOnceIDs {
-		if runs := c.d.book.Runs(id); len(runs) > 1 {
+		if runs := c.d.executionLog.Runs(id); len(runs) > 1 {
 			found = append(found, fmt.Sprintf("%s ran %d times: %+v", id, len(runs), runs))
 		}
 	}
 	for _, id := range c.refusedIDs {
-		runs := c.d.book.Runs(id)
+		runs := c.d.executionLog.Runs(id)
 		if len(runs) > 0 && runs[0].Method == http.MethodPost {
 			found = append(found, fmt.Sprintf("%s was refused but ran: %+v", id, runs))
 		}
 	}
 	holders := map[int64]string{}
-	for _, o := range c.d.book.Orders() {
+	for _, o := range c.d.executionLog.Orders() {
 		if h, ok := holders[o.Fence]; ok && h != o.Holder {
 			found = append(found, fmt.Sprintf("fencing token %d was used by %s and %s", o.Fence, h, o.Holder))
 		}
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -77,32 +77,32 @@
 	d := startDeployment(ctx, t, binary, dir, *frontCount)
 	defer d.close()
 	defer cancel()
-	c := newLoadGenerator(d, fmt.Sprintf("s%d", seed))
+	load := newLoadGenerator(d, fmt.Sprintf("s%d", seed))
 	rnd := rand.New(rand.NewPCG(seed, 1))
-	expectRecovery(t, c, rnd, "before the faults")
+	expectRecovery(t, load, rnd, "before the faults")
 
 	loadCtx, stopLoad := context.WithCancel(ctx)
 	var group conc.WaitGroup
 	for i := range callerCount {
-		group.Go(func() { c.run(loadCtx, seed*100+uint64(i)) })
+		group.Go(func() { load.run(loadCtx, seed*100+uint64(i)) })
 	}
-	h := &faultInjector{d: d, rnd: rnd}
+	injector := &faultInjector{d: d, rnd: rnd}
 	end := time.Now().Add(*faultTime)
 	for time.Now().Before(end) {
-		h.injectOne()
+		injector.injectOne()
 		time.Sleep(time.Duration(100+rnd.IntN(700)) * time.Millisecond)
 	}
-	h.endFaults()
+	injector.endFaults()
 	group.Go(func() {
 		time.Sleep(lateOrderWait)
 		stopLoad()
 	})
 	group.Wait()
-	expectRecovery(t, c, rnd, "after the faults")
-	for _, b := range c.check() {
+	expectRecovery(t, load, rnd, "after the faults")
+	for _, b := range load.check() {
 		t.Errorf("seed %d: %s", seed, b)
 	}
-	t.Logf("seed %d: injected faults %v, outcomes %v", seed, h.injected, c.outcomes)
+	t.Logf("seed %d: injected faults %v, outcomes %v", seed, injector.injected, load.outcomes)
 	if t.Failed() {
 		keptDir := filepath.Join("..", "..", "target", fmt.Sprintf("soak-%d", seed))
 		if out, err := exec.Command("cp", "-r", dir, keptDir).CombinedOutput(); err != nil {
@@ -159,9 +159,9 @@
 			h.drawServer().server.SetFaults(fake.Faults{LateOrders: 2, LateBy: time.Duration(h.rnd.IntN(2000)) * time.Millisecond})
 		}},
 	}
-	k := faults[h.rnd.IntN(len(faults))]
-	h.injected = append(h.injected, k.name)
-	k.inject()
+	fault := faults[h.rnd.IntN(len(faults))]
+	h.injected = append(h.injected, fault.name)
+	fault.inject()
 }
 
 func (h *faultInjector) drawFront() *frontProcess { return h.d.fronts[h.rnd.IntN(len(h.d.fronts))] }
@@ -185,17 +185,17 @@
 
 // pauseFront suspends a front with SIGSTOP for a random time.
 func (h *faultInjector) pauseFront() {
-	process, span := h.drawFront().cmd.Process, h.drawDuration()
+	process, duration := h.drawFront().cmd.Process, h.drawDuration()
 	_ = process.Signal(syscall.SIGSTOP)
 	h.group.Go(func() {
-		time.Sleep(span)
+		time.Sleep(duration)
 		_ = process.Signal(syscall.SIGCONT)
 	})
 }
 
 // disturbLink makes a proxy drop, refuse or delay traffic for a random time.
 func (h *faultInjector) disturbLink(p *proxy) {
-	fault, span := h.rnd.IntN(4), h.drawDuration()
+	fault, duration := h.rnd.IntN(4), h.drawDuration()
 	p.update(func(p *proxy) {
 		switch fault {
 		case 0:
@@ -209,7 +209,7 @@
 		}
 	})
 	h.group.Go(func() {
-		time.Sleep(span)
+		time.Sleep(duration)
 		p.clearFaults()
 		if fault != 3 {
 			p.reset()
@@ -220,9 +220,9 @@
 // rejectStoreCalls makes the store answer 503 or 429 for a random time.
 func (h *faultInjector) rejectStoreCalls() {
 	h.d.store.SetRejectStatus([]int{503, 429}[h.rnd.IntN(2)])
-	span := h.drawDuration()
+	duration := h.drawDuration()
 	h.group.Go(func() {
-		time.Sleep(span)
+		time.Sleep(duration)
 		h.d.store.SetRejectStatus(0)
 	})
 }
