--- a/test/proofs/bookings_test.go
+++ b/test/proofs/bookings_test.go
@@ -257,17 +257,17 @@
 				runAll(fns...)
 				time.Sleep(20 * time.Second)
 				counts := map[string]int{}
-				for body, got := range outcomes {
+				for body, o := range outcomes {
 					runs := r.runLogs["book"].Runs(body)
-					counts[fmt.Sprintf("%d%s", got.status, got.errorCode)]++
-					r.g.Expect(got.elapsed).To(BeNumerically("<=", 2*time.Second))
+					counts[fmt.Sprintf("%d%s", o.status, o.errorCode)]++
+					r.g.Expect(o.elapsed).To(BeNumerically("<=", 2*time.Second))
 					switch {
-					case got.status == http.StatusCreated:
+					case o.status == http.StatusCreated:
 						r.g.Expect(runs).To(Equal(1), body)
-					case got.notRun == "true":
-						r.g.Expect(runs).To(BeZero(), "%s: %+v", body, got)
+					case o.notRun == "true":
+						r.g.Expect(runs).To(BeZero(), "%s: %+v", body, o)
 					default:
-						r.g.Expect(got.outcome).To(Equal("Unknown"), "%s: %+v", body, got)
+						r.g.Expect(o.outcome).To(Equal("Unknown"), "%s: %+v", body, o)
 						r.g.Expect(runs).To(BeNumerically("<=", 1), body)
 					}
 				}
--- a/test/proofs/random_test.go
+++ b/test/proofs/random_test.go
@@ -238,7 +238,7 @@
 	n := seed(t)
 	rapid.Check(t, func(rt *rapid.T) {
 		faults := drawFaults(rt)
-		var violations []string
+		var broken []string
 		synctest.Test(t, func(t *testing.T) {
 			r := newRig(t, n, time.Second)
 			chatOutcomes, wantTexts, bookingOutcomes := r.runWithFaults(faults)
@@ -246,12 +246,12 @@
 			r.platform.Store.SetFaults(kvsim.Faults{})
 			time.Sleep(30 * time.Second)
 			notConverged := r.nodesNotConverged()
-			violations = append(r.brokenGuarantees(chatOutcomes, wantTexts, bookingOutcomes), notConverged...)
+			broken = append(r.brokenGuarantees(chatOutcomes, wantTexts, bookingOutcomes), notConverged...)
 			r.closeNodes()
-			violations = append(violations, r.violations...)
+			broken = append(broken, r.violations...)
 		})
-		if len(violations) > 0 {
-			rt.Fatalf("broken guarantees under the faults %+v:\n%v", faults, violations)
+		if len(broken) > 0 {
+			rt.Fatalf("broken guarantees under the faults %+v:\n%v", faults, broken)
 		}
 	})
 }
