--- a/internal/lab/traces/traces.go
+++ b/internal/lab/traces/traces.go
@@ -11,6 +11,7 @@
 
 // Arrival is one request for a model.
 type Arrival struct {
+	// At is the time since the start of the trace.
 	At    time.Duration
 	Model int
 	// ServiceTime is how long the request runs on a loaded replica.
@@ -106,7 +107,8 @@
 }
 
 const (
-	day          = 24 * time.Hour
+	day = 24 * time.Hour
+	// workdayStart and workdayEnd are the working hours, as times since midnight.
 	workdayStart = 8 * time.Hour
 	workdayEnd   = 19 * time.Hour
 )
--- a/internal/standin/kvsim/memory.go
+++ b/internal/standin/kvsim/memory.go
@@ -59,7 +59,7 @@
 	compactedRevision int64
 }
 
-var errUnavailable = errors.New("the store is away")
+var errUnavailable = errors.New("store unavailable by fault switch Away")
 
 // NewMemoryStore returns an empty store; the seed determines which answers LoseAnswers affects.
 func NewMemoryStore(seed uint64) *MemoryStore {
--- a/internal/standin/svcsim/endpoint.go
+++ b/internal/standin/svcsim/endpoint.go
@@ -108,7 +108,7 @@
 		return plain.Answer{}, &plain.LostResponse{Err: ctx.Err()}
 	}
 	if loseAnswer {
-		return plain.Answer{}, &plain.LostResponse{Err: errors.New("fault switch LoseAnswers is set")}
+		return plain.Answer{}, &plain.LostResponse{Err: errors.New("answer lost by fault switch LoseAnswers")}
 	}
 	return result, nil
 }
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -66,7 +66,7 @@
 	callerCount = 8
 	// recoveryLimit bounds the time from the last fault until requests are served again.
 	recoveryLimit = 20 * time.Second
-	// lateOrderWait is long enough for the orders that a server carries out late.
+	// lateOrderWait covers the orders that a server carries out late, by less than 2 s.
 	lateOrderWait = 2 * time.Second
 )
 
